--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,10 +1,10 @@
 //! One dispatch of a request to an upstream, up to its first answer.
 
-use crate::event::Splitter;
-use crate::job::{Job, Overdue, Seat};
+use crate::event::EventSplitter;
+use crate::job::{Job, OverdueGuard, UpstreamSlot};
 use crate::limits;
-use crate::manifest::Kind;
-use crate::ports::{Malformed, Reply, Wire};
+use crate::manifest::RouteKind;
+use crate::ports::{Malformed, ResponseCheck, Wire};
 use http::header::{CONNECTION, CONTENT_LENGTH, HOST, TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
 use http::response;
 use http::{HeaderMap, HeaderName, Request, StatusCode, Uri};
@@ -16,11 +16,11 @@
 use store::rows::Rows;
 
 /// An idempotent call is tried elsewhere after this multiple of its target without an answer.
-const CALL_PATIENCE: f64 = 1.5;
+const CALL_TIMEOUT_FACTOR: f64 = 1.5;
 /// A stream is tried elsewhere after this multiple of its target without an event.
-const STREAM_PATIENCE: f64 = 1.6;
+const STREAM_TIMEOUT_FACTOR: f64 = 1.6;
 /// Any other request counts as overdue after this multiple of its target.
-const OVERDUE: f64 = 2.0;
+const OVERDUE_FACTOR: f64 = 2.0;
 /// Time between the end of the answer's deadline and the moment at which the router gives up, in milliseconds:
 /// the upstream's own final answer may still come.
 const DEADLINE_SLACK_MS: u64 = 60;
@@ -32,28 +32,28 @@
     [CONNECTION, HeaderName::from_static("keep-alive"), TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
 /// A stream that has begun.
-pub(crate) struct Flow<W: Wire, S: Rows> {
+pub(crate) struct OpenStream<W: Wire, S: Rows> {
     pub body: Incoming,
     pub lease: net::Lease,
-    pub seat: Seat<W, S>,
+    pub slot: UpstreamSlot<W, S>,
 }
 
 /// What a dispatch led to.
-pub(crate) enum First<W: Wire, S: Rows> {
+pub(crate) enum Outcome<W: Wire, S: Rows> {
     /// A whole answer.
-    Whole(response::Parts, Bytes),
+    Complete(response::Parts, Bytes),
     /// A stream, with its first events.
-    Stream(response::Parts, Box<Flow<W, S>>, Bytes),
+    Stream(response::Parts, Box<OpenStream<W, S>>, Bytes),
     /// It was not sent: the upstream takes no work any more.
-    Withdrawn(String),
+    NotSent(String),
     /// The upstream certainly did not run the request.
     NotRun(String),
     /// It answered with a failure of its own.
-    Erred(response::Parts, Bytes),
+    ServerError(response::Parts, Bytes),
     /// It may have run the request, and its connection broke before a whole answer came.
-    Broken(String),
+    ConnectionBroken(String),
     /// It may have run the request, and no answer that counts came.
-    Lost(String),
+    NoValidAnswer(String),
     /// The time ran out.
     TimedOut,
 }
@@ -63,13 +63,13 @@
     pub(crate) async fn attempt(
         &self,
         chosen: &Chosen,
-        splitter: &mut Splitter,
+        splitter: &mut EventSplitter,
         after_event: Option<u64>,
-        may_move: bool,
-    ) -> First<W, S> {
+        may_try_elsewhere: bool,
+    ) -> Outcome<W, S> {
         let node = &self.node;
         let Some(listing) = node.listings().get(&chosen.upstream).cloned() else {
-            return First::NotRun("it is not listed any more".to_owned());
+            return Outcome::NotRun("it is not listed any more".to_owned());
         };
         log::info!(
             "request: id={} event=dispatch upstream={} cost={:.0} first-ms={:.0} unread={} long={} kept-for-short={} open={} candidates={} after={:?}",
@@ -90,128 +90,136 @@
             .services
             .get(&self.request.service)
             .map_or(usize::MAX, |service| service.connections);
-        let request = self.request(&chosen.upstream, after_event);
-        let Some(seat) = Seat::take(self, chosen) else {
-            return First::Withdrawn("it accepts no more requests now".to_owned());
+        let request = self.build_request(&chosen.upstream, after_event);
+        let Some(slot) = UpstreamSlot::take(self, chosen) else {
+            return Outcome::NotSent("it accepts no more requests now".to_owned());
         };
         if self.request.ask.prompt.is_some() && node.hints.tells(chosen.uncached, node.now()) {
             let told = node.places().tell(chosen);
             node.hints.tell(&chosen.upstream, told);
         }
         let most = node.connections(all);
-        node.load.send(self.request.body.len());
+        node.load.record_sent(self.request.body.len());
         // A connection may be waited for while the upstream says that it leaves, or asks for rest.
         let is_wanted = || node.places().admits(&chosen.upstream, node.now());
         let sending = node.pool.send("dispatch", listing.address, most, request, is_wanted);
         let began = node.now();
-        let first = self.await_first(chosen, seat, splitter, may_move, sending).await;
-        self.judge(chosen, began, &first);
-        if let First::Broken(_) = first {
-            self.inspect(&chosen.upstream, None).done().await;
+        let first = self.wait_for_first_answer(chosen, slot, splitter, may_try_elsewhere, sending).await;
+        self.record_upstream_outcome(chosen, began, &first);
+        if let Outcome::ConnectionBroken(_) = first {
+            self.inspect(&chosen.upstream, None).wait().await;
         }
         first
     }
 
-    async fn await_first(
+    async fn wait_for_first_answer(
         &self,
         chosen: &Chosen,
-        seat: Seat<W, S>,
-        splitter: &mut Splitter,
-        may_move: bool,
+        slot: UpstreamSlot<W, S>,
+        splitter: &mut EventSplitter,
+        may_try_elsewhere: bool,
         sending: impl Future<Output = Result<(http::Response<Incoming>, net::Lease), net::Failure>>,
-    ) -> First<W, S> {
+    ) -> Outcome<W, S> {
         let mut reading = pin!(async {
-            let mut seat = seat;
-            let first = self.read_first(&mut seat, splitter, sending).await;
-            (first, seat)
+            let mut slot = slot;
+            let first = self.read_first_answer(&mut slot, splitter, sending).await;
+            (first, slot)
         });
-        let patience = self.patience(chosen).min(self.remaining());
+        let first_answer_timeout = self.first_answer_timeout(chosen).min(self.remaining());
         let clock = &self.node.clock;
-        let early = clock.timeout(patience, reading.as_mut()).await;
-        let (first, seat) = match early {
+        let early = clock.timeout(first_answer_timeout, reading.as_mut()).await;
+        let (first, slot) = match early {
             Some(done) => done,
-            None if may_move && self.kind().is_repeatable() && !self.remaining().is_zero() => {
+            None if may_try_elsewhere && self.kind().is_repeatable() && !self.remaining().is_zero() => {
                 self.node.places().err(&chosen.upstream);
-                return First::Lost(format!("no answer within {} ms", patience.as_millis()));
+                return Outcome::NoValidAnswer(format!(
+                    "no answer within {} ms",
+                    first_answer_timeout.as_millis()
+                ));
             }
             None => {
-                let _overdue = Overdue::new(&self.node, &chosen.upstream);
+                let _overdue = OverdueGuard::new(&self.node, &chosen.upstream);
                 let rest = self.remaining() + Duration::from_millis(DEADLINE_SLACK_MS);
                 match clock.timeout(rest, reading.as_mut()).await {
                     Some(done) => done,
-                    None => return First::TimedOut,
+                    None => return Outcome::TimedOut,
                 }
             }
         };
         match first {
-            Read::Flowing(head, body, lease, bytes) => {
-                First::Stream(head, Box::new(Flow { body, lease, seat }), bytes)
+            ReadOutcome::Stream(head, body, lease, bytes) => {
+                Outcome::Stream(head, Box::new(OpenStream { body, lease, slot }), bytes)
             }
-            Read::Other(first) => first,
+            ReadOutcome::Other(first) => first,
         }
     }
 
-    fn patience(&self, chosen: &Chosen) -> Duration {
+    fn first_answer_timeout(&self, chosen: &Chosen) -> Duration {
         let factor = match self.kind() {
-            Kind::Idempotent => CALL_PATIENCE,
-            Kind::ResumableStream => STREAM_PATIENCE,
-            Kind::Once | Kind::Stream => OVERDUE,
+            RouteKind::Idempotent => CALL_TIMEOUT_FACTOR,
+            RouteKind::ResumableStream => STREAM_TIMEOUT_FACTOR,
+            RouteKind::Once | RouteKind::Stream => OVERDUE_FACTOR,
         };
         Duration::from_millis(
             (self.request.route.target_ms as f64 * factor + chosen.first_ms.clamp(0.0, 1_000.0)) as u64,
         )
     }
 
-    async fn read_first(
+    async fn read_first_answer(
         &self,
-        seat: &mut Seat<W, S>,
-        splitter: &mut Splitter,
+        slot: &mut UpstreamSlot<W, S>,
+        splitter: &mut EventSplitter,
         sending: impl Future<Output = Result<(http::Response<Incoming>, net::Lease), net::Failure>>,
-    ) -> Read<W, S> {
+    ) -> ReadOutcome<W, S> {
         let (response, lease) = match sending.await {
             Ok(answer) => answer,
             Err(failure) if failure.is_unwanted => {
-                return Read::Other(First::Withdrawn(failure.error.to_string()));
+                return ReadOutcome::Other(Outcome::NotSent(failure.error.to_string()));
             }
             Err(failure) => {
-                return Read::Other(match failure.error.fault {
-                    net::Fault::Unsent => First::NotRun(failure.error.to_string()),
-                    net::Fault::Unknown => First::Broken(failure.error.to_string()),
+                return ReadOutcome::Other(match failure.error.fault {
+                    net::Fault::Unsent => Outcome::NotRun(failure.error.to_string()),
+                    net::Fault::Unknown => Outcome::ConnectionBroken(failure.error.to_string()),
                 });
             }
         };
         let (head, body) = response.into_parts();
-        let reply = self.node.wire.reply(&head, &self.request.ask.id);
-        if reply != Reply::OtherUpstream {
-            self.heed(seat, &head, reply);
+        let check = self.node.wire.check_response(&head, &self.request.ask.id);
+        if check != ResponseCheck::WrongUpstream {
+            self.apply_upstream_state(slot, &head, check);
         }
-        match reply {
-            Reply::Stray => Read::Other(First::Lost("the answer belongs to another request".to_owned())),
-            Reply::OtherUpstream => {
-                self.finish(lease, body).await;
-                Read::Other(First::NotRun("another upstream has the address".to_owned()))
+        match check {
+            ResponseCheck::Mismatched => {
+                ReadOutcome::Other(Outcome::NoValidAnswer("the answer belongs to another request".to_owned()))
             }
-            Reply::NotRun => {
-                self.finish(lease, body).await;
-                Read::Other(First::NotRun(format!("it refused with status {}", head.status.as_u16())))
+            ResponseCheck::WrongUpstream => {
+                self.drain(lease, body).await;
+                ReadOutcome::Other(Outcome::NotRun("another upstream has the address".to_owned()))
             }
-            Reply::Sound if self.kind().is_stream() && head.status == StatusCode::OK => {
-                self.read_events(head, body, lease, seat, splitter).await
+            ResponseCheck::NotRun => {
+                self.drain(lease, body).await;
+                ReadOutcome::Other(Outcome::NotRun(format!(
+                    "it refused with status {}",
+                    head.status.as_u16()
+                )))
             }
-            Reply::Sound => Read::Other(self.read_whole(head, body, lease, seat).await),
+            ResponseCheck::Valid if self.kind().is_stream() && head.status == StatusCode::OK => {
+                self.read_events(head, body, lease, slot, splitter).await
+            }
+            ResponseCheck::Valid => ReadOutcome::Other(self.read_whole(head, body, lease, slot).await),
         }
     }
 
     /// Takes in what an upstream says of itself, before its answer is passed on.
-    fn heed(&self, seat: &Seat<W, S>, head: &response::Parts, reply: Reply) {
+    fn apply_upstream_state(&self, slot: &UpstreamSlot<W, S>, head: &response::Parts, check: ResponseCheck) {
         let node = &self.node;
-        let upstream = seat.upstream.as_str();
-        if node.wire.leaves(head) && node.places().leave(upstream, node.now()) {
+        let upstream = slot.upstream.as_str();
+        if node.wire.is_leaving(head) && node.places().leave(upstream, node.now()) {
             log::info!(
                 "upstream: event=leaves upstream={upstream} told-by=answer request={}",
                 self.request.ask.id
             );
-            node.metrics.leaving.inc();
+            node.metrics.upstreams_leaving.inc();
             // The others may hold more of its connections, and lose their requests when it ends.
             let started = node.listings().get(upstream).and_then(|listing| listing.started);
             node.hints.tell_leaving(upstream, started);
@@ -219,15 +227,15 @@
         if let Some(ms) = self.value_or_warn(upstream, node.wire.warmup_ms(head)) {
             node.places().warm_up(upstream, ms, node.now());
         }
-        if let Some(asked_ms) = self.value_or_warn(upstream, node.wire.rest_ms(head)) {
+        if let Some(asked_ms) = self.value_or_warn(upstream, node.wire.retry_after_ms(head)) {
             let ms = node.places().rest(upstream, asked_ms, node.now());
             log::info!(
                 "upstream: event=rests upstream={upstream} ms={ms} asked-ms={asked_ms} request={}",
                 self.request.ask.id
             );
-            node.metrics.rests.inc();
+            node.metrics.upstream_rests.inc();
         }
-        let is_success = reply == Reply::Sound && head.status.is_success();
+        let is_success = check == ResponseCheck::Valid && head.status.is_success();
         match node.wire.limit_per_s(head) {
             // A refusal may come from only a part of the upstream, so only a successful answer can end a limit.
             Ok(None) if !is_success => {}
@@ -235,7 +243,7 @@
                 let request = &self.request.ask.id;
                 limits::observe(
                     node,
-                    &limits::Answer { upstream, request, dispatched: seat.dispatched, per_s },
+                    &limits::Answer { upstream, request, dispatched: slot.dispatched, per_s },
                 );
             }
             Err(error) => self.warn_unreadable(upstream, &error),
@@ -256,7 +264,7 @@
     }
 
     /// Reads a short answer to its end, so that its connection can be kept.
-    async fn finish(&self, lease: net::Lease, body: Incoming) {
+    async fn drain(&self, lease: net::Lease, body: Incoming) {
         match net::collect(body, ANSWER_LIMIT).await {
             Ok(_) => lease.keep(),
             Err(reason) => {
@@ -270,19 +278,19 @@
         mut head: response::Parts,
         body: Incoming,
         lease: net::Lease,
-        seat: &mut Seat<W, S>,
-    ) -> First<W, S> {
+        slot: &mut UpstreamSlot<W, S>,
+    ) -> Outcome<W, S> {
         match net::collect(body, ANSWER_LIMIT).await {
             Ok(bytes) => {
                 lease.keep();
-                seat.read();
-                strip(&mut head.headers);
+                slot.mark_prompt_read();
+                strip_hop_by_hop(&mut head.headers);
                 match head.status.is_server_error() {
-                    true => First::Erred(head, bytes),
-                    false => First::Whole(head, bytes),
+                    true => Outcome::ServerError(head, bytes),
+                    false => Outcome::Complete(head, bytes),
                 }
             }
-            Err(reason) => First::Broken(format!("the answer broke off: {reason}")),
+            Err(reason) => Outcome::ConnectionBroken(format!("the answer broke off: {reason}")),
         }
     }
 
@@ -291,36 +299,40 @@
         mut head: response::Parts,
         mut body: Incoming,
         lease: net::Lease,
-        seat: &mut Seat<W, S>,
-        splitter: &mut Splitter,
-    ) -> Read<W, S> {
+        slot: &mut UpstreamSlot<W, S>,
+        splitter: &mut EventSplitter,
+    ) -> ReadOutcome<W, S> {
         loop {
             match body.frame().await {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     let events = splitter.push(data);
                     if !events.is_empty() {
-                        seat.read();
-                        strip(&mut head.headers);
-                        return Read::Flowing(head, body, lease, events);
+                        slot.mark_prompt_read();
+                        strip_hop_by_hop(&mut head.headers);
+                        return ReadOutcome::Stream(head, body, lease, events);
                     }
                 }
                 Some(Err(error)) => {
-                    return Read::Other(First::Broken(format!("the stream broke off: {error}")));
+                    return ReadOutcome::Other(Outcome::ConnectionBroken(format!(
+                        "the stream broke off: {error}"
+                    )));
                 }
                 None => {
                     lease.keep();
-                    strip(&mut head.headers);
-                    return Read::Other(First::Whole(head, splitter.take_rest()));
+                    strip_hop_by_hop(&mut head.headers);
+                    return ReadOutcome::Other(Outcome::Complete(head, splitter.take_partial()));
                 }
             }
         }
     }
 
-    fn request(&self, upstream: &str, after_event: Option<u64>) -> Request<net::Body> {
-        let mut headers =
-            self.node.wire.dispatch(&self.request.head.headers, &self.dispatch(upstream, after_event));
-        strip(&mut headers);
+    fn build_request(&self, upstream: &str, after_event: Option<u64>) -> Request<net::Body> {
+        let mut headers = self
+            .node
+            .wire
+            .dispatch_headers(&self.request.head.headers, &self.dispatch_details(upstream, after_event));
+        strip_hop_by_hop(&mut headers);
         headers.remove(CONTENT_LENGTH);
         headers.insert(
             HOST,
@@ -328,39 +340,40 @@
         );
         let mut request = Request::new(net::Body::from(self.request.body.clone()));
         *request.method_mut() = self.request.head.method.clone();
-        *request.uri_mut() = origin(&self.request.head.uri);
+        *request.uri_mut() = origin_form(&self.request.head.uri);
         *request.headers_mut() = headers;
         request
     }
 
     /// Takes what a dispatch led to into the picture of its upstream.
-    fn judge(&self, chosen: &Chosen, began: u64, first: &First<W, S>) {
+    fn record_upstream_outcome(&self, chosen: &Chosen, began: u64, first: &Outcome<W, S>) {
         let now = self.node.now();
         let mut places = self.node.places();
         let ejected = match first {
-            First::Whole(..) => {
+            Outcome::Complete(..) => {
                 let pace = (!self.kind().is_stream()).then_some((now - began) as f64);
                 places.succeed(&chosen.upstream, pace);
                 false
             }
-            First::Stream(..) => {
+            Outcome::Stream(..) => {
                 places.succeed(&chosen.upstream, None);
                 false
             }
-            First::Erred(..) => {
+            Outcome::ServerError(..) => {
                 places.err(&chosen.upstream);
                 false
             }
-            First::Withdrawn(_) => false,
+            Outcome::NotSent(_) => false,
             // It said itself how long it wants nothing: that takes the place of a guess.
-            First::NotRun(_) if !places.admits(&chosen.upstream, now) => false,
-            First::NotRun(_) | First::Broken(_) | First::Lost(_) | First::TimedOut => {
-                places.fail(&chosen.upstream, now)
-            }
+            Outcome::NotRun(_) if !places.admits(&chosen.upstream, now) => false,
+            Outcome::NotRun(_)
+            | Outcome::ConnectionBroken(_)
+            | Outcome::NoValidAnswer(_)
+            | Outcome::TimedOut => places.fail(&chosen.upstream, now),
         };
         drop(places);
-        if let First::Whole(..) | First::Erred(..) = first {
-            self.outlived();
+        if let Outcome::Complete(..) | Outcome::ServerError(..) = first {
+            self.record_survival();
         }
         if ejected {
             log::warn!(
@@ -372,19 +385,19 @@
     }
 }
 
-enum Read<W: Wire, S: Rows> {
-    Flowing(response::Parts, Incoming, net::Lease, Bytes),
-    Other(First<W, S>),
+enum ReadOutcome<W: Wire, S: Rows> {
+    Stream(response::Parts, Incoming, net::Lease, Bytes),
+    Other(Outcome<W, S>),
 }
 
-/// The path and query, as a request to an origin server names them.
-fn origin(uri: &Uri) -> Uri {
+/// The path and query, as a request to an origin_form server names them.
+fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned().unwrap_or(http::uri::PathAndQuery::from_static("/"));
     Uri::from(path)
 }
 
 /// Drops the headers that concern one connection only, those that `Connection` names included.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -10,40 +10,40 @@
 use store::rows::Rows;
 
 /// A body that is known whole.
-pub(crate) type Body = Option<Bytes>;
+pub(crate) type WholeBody = Option<Bytes>;
 
 /// The body of an answer to a caller.
-pub(crate) enum Answer<W: Wire, S: Rows> {
+pub(crate) enum AnswerBody<W: Wire, S: Rows> {
     /// Everything at once.
-    Whole(Body),
+    Whole(WholeBody),
     /// A stream of events.
-    Relayed(Box<Relay<W, S>>),
+    Stream(Box<Relay<W, S>>),
 }
 
-impl<W: Wire, S: Rows> http_body::Body for Answer<W, S> {
+impl<W: Wire, S: Rows> http_body::Body for AnswerBody<W, S> {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            Answer::Whole(bytes) => {
+            AnswerBody::Whole(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(Frame::data).map(Ok))
             }
-            Answer::Relayed(relay) => {
+            AnswerBody::Stream(relay) => {
                 relay.poll_next(context).map(|next| next.map(|part| part.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Answer::Whole(bytes) if bytes.as_ref().is_none_or(Bytes::is_empty))
+        matches!(self, AnswerBody::Whole(bytes) if bytes.as_ref().is_none_or(Bytes::is_empty))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Answer::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Answer::Relayed(_) => SizeHint::default(),
+            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            AnswerBody::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -3,34 +3,34 @@
 use hyper::body::Bytes;
 
 /// What ends an event.
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 /// What begins the line with an event's number.
-const NUMBER: &[u8] = b"id:";
+const ID_FIELD: &[u8] = b"id:";
 
 /// The events of one stream, as far as they came.
 #[derive(Debug, Default)]
-pub(crate) struct Splitter {
-    rest: Vec<u8>,
-    last: Option<u64>,
+pub(crate) struct EventSplitter {
+    partial: Vec<u8>,
+    last_id: Option<u64>,
     count: u64,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes bytes in, and returns those that complete events.
     ///
-    /// After [`Splitter::restart`] events that came before are left out.
+    /// After [`EventSplitter::discard_partial`] events that came before are left out.
     pub(crate) fn push(&mut self, bytes: Bytes) -> Bytes {
         // Most reads hold whole events, which are passed on without a copy.
-        let whole = if self.rest.is_empty() { bytes } else { self.join(&bytes) };
-        let Some(end) = find_last(&whole) else {
-            self.rest = whole.to_vec();
+        let whole = if self.partial.is_empty() { bytes } else { self.prepend_partial(&bytes) };
+        let Some(end) = find_last_end(&whole) else {
+            self.partial = whole.to_vec();
             return Bytes::new();
         };
-        self.rest = whole[end..].to_vec();
+        self.partial = whole[end..].to_vec();
         let complete = whole.slice(..end);
         let mut start = 0;
         let mut kept: Option<Vec<u8>> = None;
-        while let Some(length) = find(&complete[start..]) {
+        while let Some(length) = find_first_end(&complete[start..]) {
             let event = &complete[start..start + length];
             if self.is_new(event) {
                 if let Some(kept) = &mut kept {
@@ -44,36 +44,36 @@
         kept.map_or(complete, Bytes::from)
     }
 
-    fn join(&mut self, bytes: &[u8]) -> Bytes {
-        let mut whole = std::mem::take(&mut self.rest);
+    fn prepend_partial(&mut self, bytes: &[u8]) -> Bytes {
+        let mut whole = std::mem::take(&mut self.partial);
         whole.extend_from_slice(bytes);
         Bytes::from(whole)
     }
 
     fn is_new(&mut self, event: &[u8]) -> bool {
-        if let Some(number) = number(event) {
-            if self.last.is_some_and(|last| number <= last) {
+        if let Some(id) = event_id(event) {
+            if self.last_id.is_some_and(|last| id <= last) {
                 return false;
             }
-            self.last = Some(number);
+            self.last_id = Some(id);
         }
         self.count += 1;
         true
     }
 
     /// Forgets the beginning of an event whose end never came.
-    pub(crate) fn restart(&mut self) {
-        self.rest.clear();
+    pub(crate) fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
     /// The bytes after the last whole event.
-    pub(crate) fn take_rest(&mut self) -> Bytes {
-        Bytes::from(std::mem::take(&mut self.rest))
+    pub(crate) fn take_partial(&mut self) -> Bytes {
+        Bytes::from(std::mem::take(&mut self.partial))
     }
 
     /// The number of the last whole event.
-    pub(crate) fn last(&self) -> Option<u64> {
-        self.last
+    pub(crate) fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     /// Whole events so far.
@@ -83,18 +83,21 @@
 }
 
 /// The length of the first event, its end included.
-fn find(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(END.len()).position(|window| window == END).map(|index| index + END.len())
+fn find_first_end(bytes: &[u8]) -> Option<usize> {
+    bytes.windows(EVENT_END.len()).position(|window| window == EVENT_END).map(|index| index + EVENT_END.len())
 }
 
 /// Where the last whole event ends.
-fn find_last(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(END.len()).rposition(|window| window == END).map(|index| index + END.len())
+fn find_last_end(bytes: &[u8]) -> Option<usize> {
+    bytes
+        .windows(EVENT_END.len())
+        .rposition(|window| window == EVENT_END)
+        .map(|index| index + EVENT_END.len())
 }
 
-fn number(event: &[u8]) -> Option<u64> {
-    let line = event.split(|byte| *byte == b'\n').find(|line| line.starts_with(NUMBER))?;
-    std::str::from_utf8(&line[NUMBER.len()..]).ok()?.trim().parse().ok()
+fn event_id(event: &[u8]) -> Option<u64> {
+    let line = event.split(|byte| *byte == b'\n').find(|line| line.starts_with(ID_FIELD))?;
+    std::str::from_utf8(&line[ID_FIELD.len()..]).ok()?.trim().parse().ok()
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/failover.rs
+++ b/crates/gateway/src/failover.rs
@@ -3,7 +3,7 @@
 //! Cuts and refusals often concern some gateways only. A call that is made for another is the same call: its
 //! conditions are those of its sender, so an answer that is lost on the way costs what one lost by the store would.
 
-use crate::access::Access;
+use crate::store_health::StoreHealth;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
 use net::{Body, Client, exec};
@@ -69,7 +69,7 @@
 pub(crate) struct Failover<S> {
     direct: S,
     client: Client,
-    access: Arc<Mutex<Access>>,
+    access: Arc<Mutex<StoreHealth>>,
     /// Calls that are being made for other gateways.
     helped: Arc<AtomicUsize>,
     /// Reads whose answers are awaited.
@@ -90,7 +90,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Access> {
+    fn lock(&self) -> MutexGuard<'_, StoreHealth> {
         self.access.lock().expect("no thread panics while it holds the access")
     }
 
@@ -123,7 +123,7 @@
         direct: impl Future<Output = Result<T, Error>>,
     ) -> Result<T, Error> {
         let mut direct = pin!(direct);
-        if self.lock().is_away() {
+        if self.lock().is_unreachable() {
             return match self.reach_by_others(step, call).await {
                 Some(result) => result,
                 None => self.reach_directly(step, call, progress, direct).await.unwrap_or_else(Err),
@@ -132,7 +132,7 @@
         match self.reach_directly(step, call, progress, direct.as_mut()).await {
             Err(late) if call.is_read() => self.race(step, call, progress, direct, late).await,
             Err(late) => Err(late),
-            Ok(Err(error)) if self.lock().is_away() && call.may_be_made_again(&error) => {
+            Ok(Err(error)) if self.lock().is_unreachable() && call.may_be_made_again(&error) => {
                 self.reach_by_others(step, call).await.unwrap_or(Err(error))
             }
             Ok(result) => result,
@@ -148,7 +148,7 @@
         mut direct: Pin<&mut impl Future<Output = Result<T, Error>>>,
     ) -> Result<Result<T, Error>, Error> {
         let more = if call.is_read() { READ } else { Duration::ZERO };
-        let limit = self.lock().patience() + call.wait() + more;
+        let limit = self.lock().call_timeout() + call.wait() + more;
         let began = Instant::now();
         let result = arriving(progress, limit, STANDSTILL, direct.as_mut()).await.ok_or_else(|| {
             let reason = format!("no answer within {} ms", limit.as_millis());
@@ -191,15 +191,15 @@
     }
 
     fn answered(&self, ms: Option<f64>) {
-        if let Some(away) = self.lock().answered(ms) {
+        if let Some(away) = self.lock().record_answer(ms) {
             log::info!("store: event=direct-way-regained after-ms={}", away.as_millis());
         }
     }
 
     fn failed(&self, error: &Error) {
         let has_left = match error.fault {
-            Fault::Unknown => self.lock().lost(),
-            Fault::NotApplied => self.lock().refused(),
+            Fault::Unknown => self.lock().record_no_answer(),
+            Fault::NotApplied => self.lock().record_refusal(),
         };
         if has_left {
             log::warn!("store: event=direct-way-lost peers={} {error}", self.lock().peers.len());
@@ -209,9 +209,9 @@
 
     /// Tries the direct way until it works again.
     async fn probe(self) {
-        while self.lock().is_away() {
+        while self.lock().is_unreachable() {
             exec::sleep(PROBE).await;
-            let limit = self.lock().patience();
+            let limit = self.lock().call_timeout();
             if let Some(Ok(_)) = exec::timeout(limit, self.direct.list(PROBE_TABLE, PROBE_PART)).await {
                 self.answered(None);
             }
@@ -228,16 +228,16 @@
         for peer in helpers {
             match self.ask(step, peer, call).await {
                 Ok(Answer::Done(value)) => {
-                    self.lock().helped();
+                    self.lock().record_helped();
                     return Some(Ok(value));
                 }
                 Ok(Answer::Failed { not_applied, reason }) => {
                     let fault = if not_applied { Fault::NotApplied } else { Fault::Unknown };
                     return Some(Err(Error { step, peer: peer.to_string(), fault, reason }));
                 }
-                Ok(Answer::Away) => self.lock().rest(peer),
+                Ok(Answer::Away) => self.lock().back_off(peer),
                 Err(error) => {
-                    self.lock().rest(peer);
+                    self.lock().back_off(peer);
                     if !call.may_be_made_again(&error) {
                         return Some(Err(error));
                     }
@@ -257,7 +257,7 @@
         let body = bincode::serialize(call).map_err(|reason| error(Fault::NotApplied, reason.to_string()))?;
         let request = Request::post(format!("http://{peer}/")).body(Body::from(body));
         let request = request.map_err(|reason| error(Fault::NotApplied, reason.to_string()))?;
-        let limit = self.lock().patience() + call.wait() + Duration::from_millis(WAY_MS);
+        let limit = self.lock().call_timeout() + call.wait() + Duration::from_millis(WAY_MS);
         let answer = self.client.exchange(step, request, ANSWER_LIMIT, limit).await.map_err(|failed| {
             let fault = match failed.fault {
                 net::Fault::Unsent => Fault::NotApplied,
@@ -294,7 +294,7 @@
         call: impl Future<Output = Result<T, Error>>,
     ) -> Response<Body> {
         let place = Place::take(&self.helped);
-        if self.lock().is_away() || self.is_reading() || place.number > HELPED {
+        if self.lock().is_unreachable() || self.is_reading() || place.number > HELPED {
             return encode(&Answer::<T>::Away);
         }
         let answer = match call.await {
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -1,11 +1,11 @@
 //! A request from its head to its answer: admission, dispatch, and what to do when a dispatch fails.
 
-use crate::attempt::First;
-use crate::body::Answer;
+use crate::attempt::Outcome;
+use crate::body::AnswerBody;
 use crate::delegate::{self, Denial};
-use crate::event::Splitter;
+use crate::event::EventSplitter;
 use crate::holding::Denied;
-use crate::job::{Admitted, Job, Meter};
+use crate::job::{Admitted, Job, TokenMeter};
 use crate::manifest::Lookup;
 use crate::node::{Node, Phase};
 use crate::ports::{Ask, Wire};
@@ -23,14 +23,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The share of a request's target that it may wait for tokens: a refusal after that counts as late.
-const BUDGET_PATIENCE: f64 = 0.22;
+const BUDGET_WAIT_SHARE: f64 = 0.22;
 /// Upstreams that certainly did not run a request are passed over at most this often.
-const REFUSALS: u32 = 4;
+const MAX_REFUSALS: u32 = 4;
 
 /// The longest body that is read before a manifest is known, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 
-type Reply<W, S> = Response<Answer<W, S>>;
+type Reply<W, S> = Response<AnswerBody<W, S>>;
 
 /// Answers one request.
 pub(crate) async fn answer<W: Wire, S: Rows>(
@@ -39,11 +39,11 @@
 ) -> Reply<W, S> {
     let arrived = node.now();
     let (head, body) = request.into_parts();
-    let ask = match node.wire.ask(&head) {
+    let ask = match node.wire.decode_request(&head) {
         Ok(ask) => ask,
         Err(error) => {
             log::warn!("request: event=refused reason=malformed {error}");
-            return finish(&node, "", refuse(Refusal::Malformed));
+            return finish_answer(&node, "", refuse(Refusal::Malformed));
         }
     };
     let id = ask.id.clone();
@@ -51,24 +51,24 @@
         Ok((job, reservation)) => run(job, reservation).await,
         Err(refusal) => refuse(refusal),
     };
-    finish(&node, &id, reply)
+    finish_answer(&node, &id, reply)
 }
 
 fn refuse<W: Wire, S: Rows>(refusal: Refusal) -> Reply<W, S> {
-    refusal.response().map(Answer::Whole)
+    refusal.response().map(AnswerBody::Whole)
 }
 
 /// Names the request in an answer of the router's own, and ends the connection if the router stops or is overrun.
-fn finish<W: Wire, S: Rows>(node: &Node<W, S>, id: &str, mut reply: Reply<W, S>) -> Reply<W, S> {
-    node.wire.label(id, reply.headers_mut());
-    if node.phase() != Phase::Serving || node.load.closes() {
+fn finish_answer<W: Wire, S: Rows>(node: &Node<W, S>, id: &str, mut reply: Reply<W, S>) -> Reply<W, S> {
+    node.wire.add_request_id(id, reply.headers_mut());
+    if node.phase() != Phase::Serving || node.load.should_close_connection() {
         reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     reply
 }
 
 /// An admitted request with the tokens that are reserved for it.
-type Admission<W, S> = (Arc<Job<W, S>>, Option<Reservation>);
+type AdmittedJob<W, S> = (Arc<Job<W, S>>, Option<Reservation>);
 
 /// Decides whether a request is carried out, and at whose cost.
 async fn admit<W: Wire, S: Rows>(
@@ -77,7 +77,7 @@
     head: http::request::Parts,
     body: Incoming,
     arrived: u64,
-) -> Result<Admission<W, S>, Refusal> {
+) -> Result<AdmittedJob<W, S>, Refusal> {
     let refused = |refusal: Refusal, detail: &str| {
         node.metrics.requests.with_label_values(&["-", refusal.name()]).inc();
         log::warn!("request: id={} event=refused reason={} {detail}", ask.id, refusal.name());
@@ -86,10 +86,10 @@
     let limit = node.manifest().map_or(BODY_LIMIT, |manifest| manifest.body_limit);
     let body = match net::collect(body, limit).await {
         Ok(body) => body,
-        Err(reason) if reason.contains("limit") => return Err(refused(Refusal::TooLong, &reason)),
-        Err(reason) => return Err(refused(Refusal::BodyBroken, &reason)),
+        Err(reason) if reason.contains("limit") => return Err(refused(Refusal::BodyTooLarge, &reason)),
+        Err(reason) => return Err(refused(Refusal::BodyIncomplete, &reason)),
     };
-    node.load.receive(body.len());
+    node.load.record_received(body.len());
     if node.phase() == Phase::Draining {
         return Err(refused(Refusal::Stopping, ""));
     }
@@ -102,19 +102,19 @@
         Lookup::Allowed(route, team) => (route, team),
         // A denial is for good, so it takes the newest manifest: with 750 KB on a full link that takes seconds.
         Lookup::NoRoute | Lookup::NoKey if node.is_changing() => {
-            return Err(refused(Refusal::Changing, &version));
+            return Err(refused(Refusal::ManifestChanging, &version));
         }
         Lookup::NoRoute => return Err(refused(Refusal::NoRoute, &version)),
-        Lookup::NoKey => return Err(refused(Refusal::NoKey, &version)),
+        Lookup::NoKey => return Err(refused(Refusal::NoAccessKey, &version)),
     };
-    let Some(service) = route.service(&ask.id).map(str::to_owned) else {
+    let Some(service) = route.select_service(&ask.id).map(str::to_owned) else {
         return Err(refused(Refusal::NoUpstream, &version));
     };
     let caller = team.as_ref().map(|team| team.name.as_str());
     let fingerprint = || quarantine::fingerprint(&ask.host, &head.uri, caller, &body);
     let stopped = match quarantine::check(node, fingerprint) {
         Check::Passed => None,
-        Check::Undecided(fingerprint) => Some((Refusal::Undecided, fingerprint)),
+        Check::Undecided(fingerprint) => Some((Refusal::QuarantinePending, fingerprint)),
         Check::Denied(fingerprint) => Some((Refusal::Quarantined, fingerprint)),
     };
     if let Some((refusal, fingerprint)) = stopped {
@@ -127,9 +127,9 @@
         Ok(reservation) => reservation,
         Err((denied, ready_ms, detail)) => {
             let refusal = match denied {
-                Denied::Spent => Refusal::BudgetSpent,
-                Denied::Away => Refusal::BudgetAway(ready_ms),
-                Denied::Elsewhere => Refusal::BudgetElsewhere(ready_ms),
+                Denied::Spent => Refusal::BudgetExhausted,
+                Denied::Away => Refusal::BudgetUnavailable(ready_ms),
+                Denied::Elsewhere => Refusal::BudgetHeldElsewhere(ready_ms),
             };
             let team = team.as_ref().map_or("-", |team| team.name.as_str());
             return Err(refused(refusal, &format!("team={team} route={} {version} {detail}", route.name)));
@@ -150,42 +150,42 @@
     let (Some(team), Some(prompt)) = (team, &ask.prompt) else { return Ok(None) };
     let Some(tokens) = team.reserved else { return Ok(None) };
     let level = Level { version: manifest.version, tokens };
-    let patience = Duration::from_millis((route.target_ms as f64 * BUDGET_PATIENCE) as u64);
-    let lasts = Duration::from_millis(ask.wait_ms.unwrap_or(u64::MAX).min(route.timeout_ms));
+    let max_wait = Duration::from_millis((route.target_ms as f64 * BUDGET_WAIT_SHARE) as u64);
+    let lifetime = Duration::from_millis(ask.wait_ms.unwrap_or(u64::MAX).min(route.timeout_ms));
     let stride = manifest.services.get(service).map_or(1, |service| service.stride);
     let purse = || node.purse(manifest, team);
-    delegate::reserve(node, purse, &team.name, level, prompt.worst(stride), patience, lasts).await
+    delegate::reserve(node, purse, &team.name, level, prompt.max_tokens(stride), max_wait, lifetime).await
 }
 
 /// What to do after a dispatch.
 enum Next<W: Wire, S: Rows> {
     /// This is the answer.
-    Reply(Reply<W, S>),
+    Answer(Reply<W, S>),
     /// Try another upstream; if there is none, this is the answer.
-    Elsewhere(Reply<W, S>),
+    TryElsewhere(Reply<W, S>),
 }
 
 /// Dispatches a request until it has an answer.
 async fn run<W: Wire, S: Rows>(job: Arc<Job<W, S>>, reservation: Option<Reservation>) -> Reply<W, S> {
-    let mut meter = Some(Meter::new(&*job, reservation));
+    let mut meter = Some(TokenMeter::new(&*job, reservation));
     let mut last = None;
     while let Some(chosen) = job.choose() {
-        if job.tries().sent > 0 && (!job.may_repeat() || !job.repeat("retry")) {
+        if job.progress().sent > 0 && (!job.may_repeat() || !job.take_repeat("retry")) {
             break;
         }
-        let may_move = job.tries().ran + 1 < job.request.route.attempts;
-        let mut splitter = Splitter::default();
-        let first = job.attempt(&chosen, &mut splitter, None, may_move).await;
-        job.note(&chosen.upstream, &first);
-        match next(&job, first, splitter, &mut meter) {
-            Next::Reply(reply) => return reply,
-            Next::Elsewhere(reply) => last = Some(reply),
+        let may_try_elsewhere = job.progress().ran + 1 < job.request.route.attempts;
+        let mut splitter = EventSplitter::default();
+        let first = job.attempt(&chosen, &mut splitter, None, may_try_elsewhere).await;
+        job.record_attempt(&chosen.upstream, &first);
+        match decide_next(&job, first, splitter, &mut meter) {
+            Next::Answer(reply) => return reply,
+            Next::TryElsewhere(reply) => last = Some(reply),
         }
         if job.remaining().is_zero() {
             break;
         }
     }
-    if let Some(refusal) = job.resting() {
+    if let Some(refusal) = job.unavailable() {
         job.log_end(refusal.name(), "");
         return refuse(refusal);
     }
@@ -201,67 +201,75 @@
     }
 }
 
-fn next<W: Wire, S: Rows>(
+fn decide_next<W: Wire, S: Rows>(
     job: &Arc<Job<W, S>>,
-    first: First<W, S>,
-    splitter: Splitter,
-    meter: &mut Option<Meter>,
+    first: Outcome<W, S>,
+    splitter: EventSplitter,
+    meter: &mut Option<TokenMeter>,
 ) -> Next<W, S> {
-    let tries = job.tries();
-    let (ran, refusals) = (tries.ran, tries.sent - tries.ran);
-    drop(tries);
+    let progress = job.progress();
+    let (ran, refusals) = (progress.ran, progress.sent - progress.ran);
+    drop(progress);
     let may_run_again = job.kind().is_repeatable() && ran < job.request.route.attempts;
     match first {
-        First::Stream(head, flow, bytes) => {
-            let meter = meter.take().unwrap_or_else(|| Meter::new(&**job, None));
-            let relay = Relay::new(job.clone(), flow, splitter, bytes, meter);
-            Next::Reply(Response::from_parts(head, Answer::Relayed(Box::new(relay))))
+        Outcome::Stream(head, stream, bytes) => {
+            let meter = meter.take().unwrap_or_else(|| TokenMeter::new(&**job, None));
+            let relay = Relay::new(job.clone(), stream, splitter, bytes, meter);
+            Next::Answer(Response::from_parts(head, AnswerBody::Stream(Box::new(relay))))
         }
-        First::Whole(head, bytes) => {
-            observe_first(job);
+        Outcome::Complete(head, bytes) => {
+            observe_first_answer(job);
             job.log_end("complete", format_args!("status={}", head.status.as_u16()));
-            Next::Reply(whole(head, bytes))
+            Next::Answer(whole_answer(head, bytes))
         }
-        First::Erred(head, bytes) if may_run_again => Next::Elsewhere(whole(head, bytes)),
-        First::Erred(head, bytes) => {
+        Outcome::ServerError(head, bytes) if may_run_again => Next::TryElsewhere(whole_answer(head, bytes)),
+        Outcome::ServerError(head, bytes) => {
             job.log_end("upstream-error", format_args!("status={}", head.status.as_u16()));
-            Next::Reply(whole(head, bytes))
+            Next::Answer(whole_answer(head, bytes))
         }
-        First::Withdrawn(_) => {
+        Outcome::NotSent(_) => {
             let refusal = if ran == 0 { Refusal::NotRun } else { Refusal::Failed };
-            Next::Elsewhere(refuse(refusal))
+            Next::TryElsewhere(refuse(refusal))
         }
-        First::NotRun(_) if ran == 0 && refusals <= REFUSALS => Next::Elsewhere(refuse(Refusal::NotRun)),
-        First::NotRun(_) if may_run_again => Next::Elsewhere(refuse(Refusal::Failed)),
-        First::NotRun(reason) => {
+        Outcome::NotRun(_) if ran == 0 && refusals <= MAX_REFUSALS => {
+            Next::TryElsewhere(refuse(Refusal::NotRun))
+        }
+        Outcome::NotRun(_) if may_run_again => Next::TryElsewhere(refuse(Refusal::Failed)),
+        Outcome::NotRun(reason) => {
             let refusal = if ran == 0 { Refusal::NotRun } else { Refusal::Failed };
             job.log_end(refusal.name(), reason);
-            Next::Reply(refuse(refusal))
+            Next::Answer(refuse(refusal))
+        }
+        Outcome::ConnectionBroken(_) | Outcome::NoValidAnswer(_) if may_run_again => {
+            Next::TryElsewhere(refuse(Refusal::Failed))
         }
-        First::Broken(_) | First::Lost(_) if may_run_again => Next::Elsewhere(refuse(Refusal::Failed)),
-        First::Broken(reason) | First::Lost(reason) => {
+        Outcome::ConnectionBroken(reason) | Outcome::NoValidAnswer(reason) => {
             job.log_end("failed", reason);
-            Next::Reply(refuse(Refusal::Failed))
+            Next::Answer(refuse(Refusal::Failed))
         }
-        First::TimedOut => {
+        Outcome::TimedOut => {
             job.log_end("timed-out", "");
-            Next::Reply(refuse(Refusal::TimedOut))
+            Next::Answer(refuse(Refusal::TimedOut))
         }
     }
 }
 
-fn whole<W: Wire, S: Rows>(head: http::response::Parts, bytes: Bytes) -> Reply<W, S> {
-    Response::from_parts(head, Answer::Whole(Some(bytes)))
+fn whole_answer<W: Wire, S: Rows>(head: http::response::Parts, bytes: Bytes) -> Reply<W, S> {
+    Response::from_parts(head, AnswerBody::Whole(Some(bytes)))
 }
 
-fn observe_first<W: Wire, S: Rows>(job: &Job<W, S>) {
+fn observe_first_answer<W: Wire, S: Rows>(job: &Job<W, S>) {
     let ms = job.node.now().saturating_sub(job.request.arrived);
-    job.node.metrics.first.with_label_values(&[&job.request.route.name]).observe(ms as f64 / 1_000.0);
+    job.node
+        .metrics
+        .first_answer_time
+        .with_label_values(&[&job.request.route.name])
+        .observe(ms as f64 / 1_000.0);
 }
 
 impl<W: Wire, S: Rows> Job<W, S> {
     /// Takes one repeat out of the service's window.
-    pub(crate) fn repeat(&self, reason: &str) -> bool {
+    pub(crate) fn take_repeat(&self, reason: &str) -> bool {
         let service = &self.request.service;
         let chance = xxh3_64(self.request.ask.id.as_bytes()) as f64 / u64::MAX as f64;
         let (is_allowed, count) =
@@ -286,42 +294,47 @@
 
     /// The refusal of a request that no upstream ran, if all of them rest or have reached their limits. It says when the
     /// first one accepts requests again.
-    fn resting(&self) -> Option<Refusal> {
-        if self.tries().ran > 0 {
+    fn unavailable(&self) -> Option<Refusal> {
+        if self.progress().ran > 0 {
             return None;
         }
         let rest_ms = self.node.places().rests_ms(&self.request.service, self.node.now())?;
-        Some(Refusal::Resting(route::return_ms(rest_ms, xxh3_64(self.request.ask.id.as_bytes()))))
+        Some(Refusal::UpstreamsUnavailable(route::return_ms(
+            rest_ms,
+            xxh3_64(self.request.ask.id.as_bytes()),
+        )))
     }
 
     /// Takes down that a dispatch reached nobody: it is neither a try nor a repeat.
-    fn withdraw(&self, upstream: &str, reason: &str) {
+    fn record_not_sent(&self, upstream: &str, reason: &str) {
         log::info!(
             "request: id={} event=dispatch-withdrawn upstream={upstream} reason=\"{reason}\"",
             self.request.ask.id
         );
-        self.tries().avoid.push(upstream.to_owned());
+        self.progress().excluded.push(upstream.to_owned());
     }
 
     /// Takes down what a dispatch led to.
-    pub(crate) fn note(&self, upstream: &str, first: &First<W, S>) {
+    pub(crate) fn record_attempt(&self, upstream: &str, first: &Outcome<W, S>) {
         let (ran, reason) = match first {
-            First::Whole(..) | First::Stream(..) => (true, None),
-            First::Erred(head, _) => (true, Some(format!("status {}", head.status.as_u16()))),
-            First::Withdrawn(reason) => {
-                self.withdraw(upstream, reason);
+            Outcome::Complete(..) | Outcome::Stream(..) => (true, None),
+            Outcome::ServerError(head, _) => (true, Some(format!("status {}", head.status.as_u16()))),
+            Outcome::NotSent(reason) => {
+                self.record_not_sent(upstream, reason);
                 return;
             }
-            First::NotRun(reason) => (false, Some(reason.clone())),
-            First::Broken(reason) | First::Lost(reason) => (true, Some(reason.clone())),
-            First::TimedOut => (true, Some("the time is over".to_owned())),
+            Outcome::NotRun(reason) => (false, Some(reason.clone())),
+            Outcome::ConnectionBroken(reason) | Outcome::NoValidAnswer(reason) => {
+                (true, Some(reason.clone()))
+            }
+            Outcome::TimedOut => (true, Some("the time is over".to_owned())),
         };
-        let mut tries = self.tries();
-        tries.sent += 1;
-        tries.ran += u32::from(ran);
+        let mut progress = self.progress();
+        progress.sent += 1;
+        progress.ran += u32::from(ran);
         if let Some(reason) = reason {
-            tries.avoid.push(upstream.to_owned());
-            drop(tries);
+            progress.excluded.push(upstream.to_owned());
+            drop(progress);
             log::warn!(
                 "request: id={} event=dispatch-failed upstream={upstream} may-have-run={ran} reason=\"{reason}\"",
                 self.request.ask.id
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,6 +1,6 @@
 //! One request that was admitted, and the guards that undo what it took.
 
-use crate::manifest::{Kind, Manifest, Route, Team};
+use crate::manifest::{Manifest, Route, RouteKind, Team};
 use crate::node::Node;
 use crate::ports::{Ask, Dispatch, Wire};
 use crate::purse::Reservation;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use store::rows::Rows;
 
-/// Ranks of routes within one rank of teams.
-const ROUTE_RANKS: u32 = 3;
-/// The least urgent rank at an upstream.
-const LAST_RANK: u32 = 9;
+/// Ranks of routes within one priority of teams.
+const ROUTE_PRIORITIES: u32 = 3;
+/// The least urgent priority at an upstream.
+const LOWEST_PRIORITY: u32 = 9;
 
 /// A request that is being carried out.
 pub(crate) struct Job<W: Wire, S: Rows> {
@@ -23,19 +23,19 @@
     pub request: Admitted,
     /// When it must have its answer.
     pub deadline: Millis,
-    pub tries: Mutex<Tries>,
-    _open: Open<W, S>,
+    pub progress: Mutex<Progress>,
+    _open: OpenGuard<W, S>,
 }
 
 /// What was tried so far.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct Progress {
     /// Dispatches.
     pub sent: u32,
     /// Dispatches that ran or may have run.
     pub ran: u32,
     /// Upstreams that are not tried again.
-    pub avoid: Vec<String>,
+    pub excluded: Vec<String>,
 }
 
 /// A request that was admitted.
@@ -55,11 +55,11 @@
     pub(crate) fn new(node: Arc<Node<W, S>>, request: Admitted) -> Job<W, S> {
         let wait = request.ask.wait_ms.unwrap_or(u64::MAX).min(request.route.timeout_ms);
         let deadline = request.arrived.saturating_add(wait);
-        Job { deadline, _open: Open::new(&node), node, request, tries: Mutex::default() }
+        Job { deadline, _open: OpenGuard::new(&node), node, request, progress: Mutex::default() }
     }
 
-    pub(crate) fn tries(&self) -> MutexGuard<'_, Tries> {
-        self.tries.lock().expect("the tries' lock")
+    pub(crate) fn progress(&self) -> MutexGuard<'_, Progress> {
+        self.progress.lock().expect("the progress' lock")
     }
 
     /// The time that is left.
@@ -67,7 +67,7 @@
         Duration::from_millis(self.deadline.saturating_sub(self.node.now()))
     }
 
-    pub(crate) fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> RouteKind {
         self.request.route.kind
     }
 
@@ -78,8 +78,8 @@
 
     /// Chooses an upstream that was not tried before.
     pub(crate) fn choose(&self) -> Option<Chosen> {
-        let tries = self.tries();
-        let need = Need { service: &self.request.service, prompt: self.prompt(), avoid: &tries.avoid };
+        let progress = self.progress();
+        let need = Need { service: &self.request.service, prompt: self.prompt(), avoid: &progress.excluded };
         self.node.places().choose(&need, self.node.now())
     }
 
@@ -96,14 +96,18 @@
     }
 
     /// What is added to the request at this moment.
-    pub(crate) fn dispatch<'a>(&'a self, upstream: &'a str, after_event: Option<u64>) -> Dispatch<'a> {
+    pub(crate) fn dispatch_details<'a>(
+        &'a self,
+        upstream: &'a str,
+        after_event: Option<u64>,
+    ) -> Dispatch<'a> {
         let team = self.request.team.as_deref();
-        let rank = team.map_or(0, |team| team.priority) * ROUTE_RANKS + self.request.route.priority;
+        let priority = team.map_or(0, |team| team.priority) * ROUTE_PRIORITIES + self.request.route.priority;
         Dispatch {
             upstream,
             remaining_ms: self.remaining().as_millis() as u64,
             team: team.map(|team| team.name.as_str()),
-            priority: rank.min(LAST_RANK),
+            priority: priority.min(LOWEST_PRIORITY),
             after_event,
         }
     }
@@ -112,12 +116,16 @@
     pub(crate) fn log_end(&self, outcome: &str, detail: impl std::fmt::Display) {
         let ms = self.node.now().saturating_sub(self.request.arrived);
         let (sent, ran) = {
-            let tries = self.tries();
-            (tries.sent, tries.ran)
+            let progress = self.progress();
+            (progress.sent, progress.ran)
         };
         let team = self.request.team.as_ref().map_or("-", |team| team.name.as_str());
         self.node.metrics.requests.with_label_values(&[self.request.route.name.as_str(), outcome]).inc();
-        self.node.metrics.whole.with_label_values(&[&self.request.route.name]).observe(ms as f64 / 1_000.0);
+        self.node
+            .metrics
+            .whole_answer_time
+            .with_label_values(&[&self.request.route.name])
+            .observe(ms as f64 / 1_000.0);
         let level = if outcome == "complete" { log::Level::Info } else { log::Level::Warn };
         log::log!(
             level,
@@ -130,34 +138,34 @@
 }
 
 /// Counts a request as open.
-struct Open<W: Wire, S: Rows>(Arc<Node<W, S>>);
+struct OpenGuard<W: Wire, S: Rows>(Arc<Node<W, S>>);
 
-impl<W: Wire, S: Rows> Open<W, S> {
-    fn new(node: &Arc<Node<W, S>>) -> Open<W, S> {
+impl<W: Wire, S: Rows> OpenGuard<W, S> {
+    fn new(node: &Arc<Node<W, S>>) -> OpenGuard<W, S> {
         node.open.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        Open(node.clone())
+        OpenGuard(node.clone())
     }
 }
 
-impl<W: Wire, S: Rows> Drop for Open<W, S> {
+impl<W: Wire, S: Rows> Drop for OpenGuard<W, S> {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
     }
 }
 
 /// A request's place at an upstream, until it is dropped.
-pub(crate) struct Seat<W: Wire, S: Rows> {
+pub(crate) struct UpstreamSlot<W: Wire, S: Rows> {
     node: Arc<Node<W, S>>,
     pub upstream: String,
     /// When the request was dispatched.
     pub dispatched: Millis,
     ticket: Ticket,
-    is_read: bool,
+    is_prompt_read: bool,
 }
 
-impl<W: Wire, S: Rows> Seat<W, S> {
+impl<W: Wire, S: Rows> UpstreamSlot<W, S> {
     /// Returns `None` if the upstream accepts no more requests now, because others were dispatched since it was chosen.
-    pub(crate) fn take(job: &Job<W, S>, chosen: &Chosen) -> Option<Seat<W, S>> {
+    pub(crate) fn take(job: &Job<W, S>, chosen: &Chosen) -> Option<UpstreamSlot<W, S>> {
         let node = job.node.clone();
         let now = node.now();
         let mut places = node.places();
@@ -166,37 +174,43 @@
         }
         let ticket = places.begin(chosen, job.prompt().as_ref(), now);
         drop(places);
-        Some(Seat { node, upstream: chosen.upstream.clone(), dispatched: now, ticket, is_read: false })
+        Some(UpstreamSlot {
+            node,
+            upstream: chosen.upstream.clone(),
+            dispatched: now,
+            ticket,
+            is_prompt_read: false,
+        })
     }
 
     /// Notes that the prompt was read: the first answer came.
-    pub(crate) fn read(&mut self) {
-        if !std::mem::replace(&mut self.is_read, true) {
+    pub(crate) fn mark_prompt_read(&mut self) {
+        if !std::mem::replace(&mut self.is_prompt_read, true) {
             self.node.places().read(&self.upstream, self.ticket, self.node.now());
         }
     }
 }
 
-impl<W: Wire, S: Rows> Drop for Seat<W, S> {
+impl<W: Wire, S: Rows> Drop for UpstreamSlot<W, S> {
     fn drop(&mut self) {
         self.node.places().end(&self.upstream, self.ticket, self.node.now());
     }
 }
 
 /// Counts a request as overdue at its upstream until it is dropped: with an answer, or because the caller left.
-pub(crate) struct Overdue<'a, W: Wire, S: Rows> {
+pub(crate) struct OverdueGuard<'a, W: Wire, S: Rows> {
     node: &'a Node<W, S>,
     upstream: &'a str,
 }
 
-impl<'a, W: Wire, S: Rows> Overdue<'a, W, S> {
-    pub(crate) fn new(node: &'a Node<W, S>, upstream: &'a str) -> Overdue<'a, W, S> {
+impl<'a, W: Wire, S: Rows> OverdueGuard<'a, W, S> {
+    pub(crate) fn new(node: &'a Node<W, S>, upstream: &'a str) -> OverdueGuard<'a, W, S> {
         node.places().overdue(upstream, true);
-        Overdue { node, upstream }
+        OverdueGuard { node, upstream }
     }
 }
 
-impl<W: Wire, S: Rows> Drop for Overdue<'_, W, S> {
+impl<W: Wire, S: Rows> Drop for OverdueGuard<'_, W, S> {
     fn drop(&mut self) {
         self.node.places().overdue(self.upstream, false);
     }
@@ -204,7 +218,7 @@
 
 /// The tokens that a stream may use, charged by what was passed on.
 #[derive(Debug)]
-pub(crate) struct Meter {
+pub(crate) struct TokenMeter {
     reservation: Option<Reservation>,
     request: String,
     input: u64,
@@ -214,14 +228,14 @@
     started: bool,
 }
 
-impl Meter {
-    pub(crate) fn new<W: Wire, S: Rows>(job: &Job<W, S>, reservation: Option<Reservation>) -> Meter {
+impl TokenMeter {
+    pub(crate) fn new<W: Wire, S: Rows>(job: &Job<W, S>, reservation: Option<Reservation>) -> TokenMeter {
         let prompt = job.request.ask.prompt.as_ref();
-        Meter {
+        TokenMeter {
             reservation,
             request: job.request.ask.id.clone(),
             input: prompt.map_or(0, |prompt| prompt.input),
-            output: prompt.map_or(0, |prompt| prompt.output_in_events(job.stride())),
+            output: prompt.map_or(0, |prompt| prompt.max_output_in_events(job.stride())),
             stride: job.stride(),
             events: 0,
             started: false,
@@ -229,7 +243,7 @@
     }
 
     /// Notes that an answer goes to the caller, with so many events in all.
-    pub(crate) fn pass(&mut self, events: u64) {
+    pub(crate) fn record_events(&mut self, events: u64) {
         self.started = true;
         self.events = events;
     }
@@ -243,7 +257,7 @@
     }
 }
 
-impl Drop for Meter {
+impl Drop for TokenMeter {
     fn drop(&mut self) {
         let tokens = self.tokens();
         if let Some(reservation) = self.reservation.take()
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,7 +6,6 @@
 //! the request and what it took, `purse` its tokens, `node` the gateway's state. `settle`, `notes` and `closing`
 //! keep the budgets in the store, `watch` and `members` follow it, `snapshot` keeps the list of upstreams short for those that start. [`ports`] is the language of callers, upstreams and operators; an adapter speaks it.
 
-mod access;
 mod attempt;
 mod body;
 mod closing;
@@ -20,6 +19,7 @@
 mod holding;
 mod job;
 mod limits;
+mod load;
 pub mod manifest;
 mod members;
 mod metrics;
@@ -34,7 +34,7 @@
 mod settings;
 mod settle;
 mod snapshot;
-mod strain;
+mod store_health;
 mod table;
 mod watch;
 
@@ -98,7 +98,7 @@
     exec::spawn(members::run(node.clone())).detach();
     exec::spawn(quarantine::run(node.clone())).detach();
     exec::spawn(notes::run(node.clone(), noted)).detach();
-    exec::spawn(strain::run(node.clone())).detach();
+    exec::spawn(load::run(node.clone())).detach();
     exec::spawn(sweep(node.clone())).detach();
 
     let limits = net::Limits { head_time: CALLER_IDLE, ..net::Limits::default() };
@@ -159,7 +159,7 @@
 /// Answers the balancer and whoever collects metrics.
 fn operators<W: Wire, S: Rows>(node: &Node<W, S>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path().starts_with("/metrics") {
-        return Response::new(Body::from(node.metrics.text()));
+        return Response::new(Body::from(node.metrics.encode()));
     }
     let mut response = Response::new(Body::empty());
     if !node.is_ready() {
@@ -189,11 +189,11 @@
                 ("level", figures.level),
             ];
             for (state, tokens) in states {
-                node.metrics.tokens.with_label_values(&[team.as_str(), state]).set(tokens as i64);
+                node.metrics.budget_tokens.with_label_values(&[team.as_str(), state]).set(tokens as i64);
             }
         }
         for (upstream, open) in node.places().open() {
-            node.metrics.upstream_open.with_label_values(&[upstream]).set(i64::from(open));
+            node.metrics.upstream_open_requests.with_label_values(&[upstream]).set(i64::from(open));
         }
     }
 }
@@ -232,16 +232,16 @@
         node.set_phase(Phase::Leaving);
         // Tokens go back while the open requests end, so that little is left to settle afterwards.
         node.purses().values().for_each(|purse| purse.retire());
-        exec::sleep(LEAVE.min(node.settings.grace() / 2)).await;
+        exec::sleep(LEAVE.min(node.settings.grace_period() / 2)).await;
         node.set_phase(Phase::Draining);
         self.callers.stop();
-        let last = node.settings.grace().saturating_sub(SETTLE);
+        let last = node.settings.grace_period().saturating_sub(SETTLE);
         while self.callers.open() > 0 && began.elapsed() < last {
             exec::sleep(LOOK).await;
         }
         log::info!("gateway: event=drained open={}", node.open.load(Ordering::Relaxed));
         let purses: Vec<_> = node.purses().values().cloned().collect();
-        let rest = || (node.settings.grace() - LAST_CALLS).saturating_sub(began.elapsed());
+        let rest = || (node.settings.grace_period() - LAST_CALLS).saturating_sub(began.elapsed());
         let limit = rest();
         let closing = purses.iter().map(|purse| purse.close(limit));
         futures::future::join_all(closing).await;
--- a/crates/gateway/src/strain.rs
+++ b/crates/gateway/src/load.rs
@@ -10,9 +10,9 @@
 use store::rows::Rows;
 
 /// Time between two samples: the balancer asks ten times less often.
-const PERIOD: Duration = Duration::from_millis(100);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// What a request or an answer takes on the link beside its body, in bytes: head and acknowledgements.
-const HEAD_BYTES: usize = 700;
+const OVERHEAD_BYTES: usize = 700;
 
 /// The bytes that passed the link, and how the gateway bears its work.
 #[derive(Debug)]
@@ -37,32 +37,32 @@
     }
 
     /// Takes in that a message with such a body came.
-    pub(crate) fn receive(&self, body: usize) {
-        self.received.fetch_add((body + HEAD_BYTES) as u64, Ordering::Relaxed);
+    pub(crate) fn record_received(&self, body: usize) {
+        self.received.fetch_add((body + OVERHEAD_BYTES) as u64, Ordering::Relaxed);
     }
 
     /// Takes in that a message with such a body was sent.
-    pub(crate) fn send(&self, body: usize) {
-        self.sent.fetch_add((body + HEAD_BYTES) as u64, Ordering::Relaxed);
+    pub(crate) fn record_sent(&self, body: usize) {
+        self.sent.fetch_add((body + OVERHEAD_BYTES) as u64, Ordering::Relaxed);
     }
 
     /// Takes in that a part of an answer was passed on.
-    pub(crate) fn relay(&self, bytes: usize) {
+    pub(crate) fn record_relayed(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// Whether this gateway takes no new callers.
-    pub(crate) fn is_back(&self) -> bool {
+    pub(crate) fn is_shedding(&self) -> bool {
         self.strain().is_back()
     }
 
     /// Whether the connection of an answer is closed after it.
-    pub(crate) fn closes(&self) -> bool {
+    pub(crate) fn should_close_connection(&self) -> bool {
         self.strain().closes(rand::random())
     }
 
-    fn drain(&self) -> u64 {
+    fn take_bytes(&self) -> u64 {
         self.received.swap(0, Ordering::Relaxed).max(self.sent.swap(0, Ordering::Relaxed))
     }
 }
@@ -70,10 +70,10 @@
 /// Samples the load.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     loop {
-        let due = node.now_exact() + PERIOD.as_secs_f64() * 1_000.0;
-        exec::sleep(PERIOD).await;
+        let due = node.now_exact() + SAMPLE_INTERVAL.as_secs_f64() * 1_000.0;
+        exec::sleep(SAMPLE_INTERVAL).await;
         let late_ms = (node.now_exact() - due).max(0.0);
-        let sample = Sample { at: node.now(), late_ms, bytes: node.load.drain() };
+        let sample = Sample { at: node.now(), late_ms, bytes: node.load.take_bytes() };
         let (shift, (late_ms, link)) = {
             let mut strain = node.load.strain();
             (strain.take(sample), strain.figures())
--- a/crates/gateway/src/manifest.rs
+++ b/crates/gateway/src/manifest.rs
@@ -29,7 +29,7 @@
     /// The paths that it takes begin so.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest that a request may be held, in milliseconds.
     pub timeout_ms: u64,
     /// The time to a first answer that the operator aims at, in milliseconds.
@@ -48,7 +48,7 @@
 
 /// What may be done again with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
+pub enum RouteKind {
     /// It may run more than once.
     Idempotent,
     /// It may run once.
@@ -59,15 +59,15 @@
     ResumableStream,
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request may run again after it ran or may have run.
     pub fn is_repeatable(self) -> bool {
-        matches!(self, Kind::Idempotent | Kind::ResumableStream)
+        matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
     /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream | Kind::ResumableStream)
+        matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
@@ -121,7 +121,7 @@
 
 impl Route {
     /// The service of a request: by the shares, and always the same one for the same request.
-    pub fn service(&self, request: &str) -> Option<&str> {
+    pub fn select_service(&self, request: &str) -> Option<&str> {
         let total: u64 = self.split.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut point = xxhash_rust::xxh3::xxh3_64(request.as_bytes()) % total.max(1);
         for (service, weight) in &self.split {
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -197,12 +197,12 @@
     if node.fleet.swap(others + 1, Ordering::Relaxed) != others + 1 {
         log::info!("fleet: event=size gateways={}", others + 1);
     }
-    node.metrics.fleet.set(others as i64 + 1);
+    node.metrics.fleet_gateways.set(others as i64 + 1);
     let alive = |name: &str| name != own && seen.get(name).is_some_and(is_alive);
     let beats = page.records.iter().filter(|record| alive(&record.name));
     let peer = |record: &Record| {
         let Beat { peers: address, cores, quarantine, .. } = decode(record)?;
-        crate::quarantine::compare(node, quarantine);
+        crate::quarantine::observe_version(node, quarantine);
         Some(Peer { name: record.name.clone(), address, cores })
     };
     let peers: Vec<Peer> = beats.filter_map(peer).collect();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -16,9 +16,9 @@
     /// Requests that ended, by route and outcome.
     pub requests: IntCounterVec,
     /// Time to the first answer, by route.
-    pub first: HistogramVec,
+    pub first_answer_time: HistogramVec,
     /// Time to the end of the answer, by route.
-    pub whole: HistogramVec,
+    pub whole_answer_time: HistogramVec,
     /// Dispatches beyond the first of a request, by service and reason.
     pub repeats: IntCounterVec,
     /// Calls to the store, by step, table and outcome.
@@ -30,21 +30,21 @@
     /// The version of the manifest in force.
     pub manifest_version: IntGauge,
     /// Tokens by team and state.
-    pub tokens: IntGaugeVec,
+    pub budget_tokens: IntGaugeVec,
     /// Open requests by upstream.
-    pub upstream_open: IntGaugeVec,
+    pub upstream_open_requests: IntGaugeVec,
     /// Upstreams listed.
     pub upstreams: IntGauge,
     /// Gateways in the fleet.
-    pub fleet: IntGauge,
+    pub fleet_gateways: IntGauge,
     /// Data centres whose upstreams get nothing, by the operators' word.
-    pub evacuated: IntGauge,
+    pub data_centres_evacuated: IntGauge,
     /// Entries in the list of upstreams that name none.
     pub entries_unfit: IntCounter,
     /// Upstreams that said in an answer that they leave.
-    pub leaving: IntCounter,
+    pub upstreams_leaving: IntCounter,
     /// Refusals of upstreams that asked for rest.
-    pub rests: IntCounter,
+    pub upstream_rests: IntCounter,
     /// Upstream answers with a valid request limit.
     pub limits_named: IntCounter,
     /// Runs that broke off because their upstream ended.
@@ -94,14 +94,20 @@
                 "Requests that ended, by route and outcome.",
                 &["route", "outcome"],
             ),
-            first: histograms("tallypaddle_first_answer_seconds", "Time to the first answer, by route."),
-            whole: histograms("tallypaddle_whole_answer_seconds", "Time to the end of the answer, by route."),
+            first_answer_time: histograms(
+                "tallypaddle_first_answer_seconds",
+                "Time to the first answer, by route.",
+            ),
+            whole_answer_time: histograms(
+                "tallypaddle_whole_answer_seconds",
+                "Time to the end of the answer, by route.",
+            ),
             repeats: counters(
                 "tallypaddle_repeats_total",
                 "Dispatches beyond the first of a request, by service and reason.",
                 &["service", "reason"],
             ),
-            evacuated: gauge(
+            data_centres_evacuated: gauge(
                 "tallypaddle_data_centres_evacuated",
                 "Data centres whose upstreams get nothing.",
             ),
@@ -109,11 +115,14 @@
                 "tallypaddle_entries_unfit_total",
                 "Entries in the list of upstreams that name none.",
             ),
-            leaving: counter(
+            upstreams_leaving: counter(
                 "tallypaddle_upstreams_leaving_total",
                 "Upstreams that said in an answer that they leave.",
             ),
-            rests: counter("tallypaddle_upstream_rests_total", "Refusals of upstreams that asked for rest."),
+            upstream_rests: counter(
+                "tallypaddle_upstream_rests_total",
+                "Refusals of upstreams that asked for rest.",
+            ),
             limits_named: counter(
                 "tallypaddle_upstream_limits_named_total",
                 "Answers in which upstreams named a request limit.",
@@ -139,12 +148,12 @@
             ),
             store_time,
             manifest_version: gauge("tallypaddle_manifest_version", "Version of the manifest in force."),
-            tokens: gauges(
+            budget_tokens: gauges(
                 "tallypaddle_budget_tokens",
                 "Tokens by team and state: available and in use here, free in the pool.",
                 &["team", "state"],
             ),
-            upstream_open: gauges(
+            upstream_open_requests: gauges(
                 "tallypaddle_upstream_open_requests",
                 "Requests of this gateway at an upstream.",
                 &["upstream"],
@@ -154,23 +163,23 @@
                 "tallypaddle_quarantined",
                 "Requests that are denied since they end upstreams.",
             ),
-            fleet: gauge("tallypaddle_fleet_gateways", "Gateways that are thought to be alive."),
+            fleet_gateways: gauge("tallypaddle_fleet_gateways", "Gateways that are thought to be alive."),
             registry,
         }
     }
 
     /// The calls to the store so far, in one line.
     pub(crate) fn store_calls_line(&self) -> String {
-        line(&self.store_calls, &["step", "table", "outcome"])
+        format_counters(&self.store_calls, &["step", "table", "outcome"])
     }
 
     /// The bytes of rows that went to and came from the store so far, in one line.
     pub(crate) fn store_bytes_line(&self) -> String {
-        line(&self.store_bytes, &["step", "table"])
+        format_counters(&self.store_bytes, &["step", "table"])
     }
 
     /// The text of all metrics.
-    pub(crate) fn text(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let mut text = vec![];
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             log::error!("metrics: event=not-encoded error={error}");
@@ -180,7 +189,7 @@
 }
 
 /// Counters in one line, each behind the values of these labels.
-fn line(counters: &IntCounterVec, labels: &[&str]) -> String {
+fn format_counters(counters: &IntCounterVec, labels: &[&str]) -> String {
     let count = |metric: &prometheus::proto::Metric| {
         let values: Vec<&str> = labels
             .iter()
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -4,13 +4,13 @@
 use crate::delegate::Delegate;
 use crate::failover::Failover;
 use crate::hints::Hints;
+use crate::load::Load;
 use crate::manifest::{Manifest, Team};
 use crate::metrics::Metrics;
 use crate::owners::{Owners, Peer};
 use crate::ports::{Listing, Wire};
 use crate::purse::{self, Purse};
 use crate::settings::Settings;
-use crate::strain::Load;
 use budget::ledger::Level;
 use event_listener::Event;
 use net::{Clock, Pool};
@@ -287,6 +287,6 @@
     /// Whether the balancer may send callers here: a manifest and upstreams are known, and the VM bears its work.
     pub(crate) fn is_ready(&self) -> bool {
         let is_informed = self.manifest().is_some() && !self.listings().is_empty();
-        self.phase() == Phase::Serving && is_informed && !self.load.is_back()
+        self.phase() == Phase::Serving && is_informed && !self.load.is_shedding()
     }
 }
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -42,7 +42,7 @@
 
 impl Prompt {
     /// The most tokens that may come out, rounded up to whole events of `stride` tokens each.
-    pub fn output_in_events(&self, stride: u64) -> u64 {
+    pub fn max_output_in_events(&self, stride: u64) -> u64 {
         self.output.div_ceil(stride.max(1)) * stride.max(1)
     }
 
@@ -52,8 +52,8 @@
     }
 
     /// What the request costs at its most.
-    pub fn worst(&self, stride: u64) -> u64 {
-        self.input + self.output_in_events(stride)
+    pub fn max_tokens(&self, stride: u64) -> u64 {
+        self.input + self.max_output_in_events(stride)
     }
 }
 
@@ -74,15 +74,15 @@
 
 /// What an upstream's answer says beside its status and body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reply {
+pub enum ResponseCheck {
     /// It answers the request.
-    Sound,
+    Valid,
     /// The upstream says that it did not run the request.
     NotRun,
     /// Another upstream has the address now; it did not run the request.
-    OtherUpstream,
+    WrongUpstream,
     /// It answers another request, or nothing that was asked.
-    Stray,
+    Mismatched,
 }
 
 /// An upstream as the platform lists it.
@@ -121,7 +121,7 @@
     fn manifest_row(&self) -> (&str, &str);
 
     /// The data centre whose upstreams get nothing as long as a row of this key is in the manifest's table.
-    fn evacuated<'a>(&self, key: &'a str) -> Option<&'a str>;
+    fn evacuated_data_centre<'a>(&self, key: &'a str) -> Option<&'a str>;
 
     /// The table that lists the upstreams.
     fn upstreams_table(&self) -> &str;
@@ -130,34 +130,34 @@
     ///
     /// # Errors
     /// Says which part is wrong.
-    fn manifest(&self, bytes: &[u8]) -> Result<Manifest, Malformed>;
+    fn decode_manifest(&self, bytes: &[u8]) -> Result<Manifest, Malformed>;
 
     /// Decodes an upstream's row.
     ///
     /// # Errors
     /// Says which part is wrong.
-    fn listing(&self, bytes: &[u8]) -> Result<Listing, Malformed>;
+    fn decode_listing(&self, bytes: &[u8]) -> Result<Listing, Malformed>;
 
     /// Decodes a request.
     ///
     /// # Errors
     /// Says which header is wrong.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, Malformed>;
+    fn decode_request(&self, head: &request::Parts) -> Result<Ask, Malformed>;
 
     /// The headers with which a request is passed on.
-    fn dispatch(&self, caller: &HeaderMap, dispatch: &Dispatch<'_>) -> HeaderMap;
+    fn dispatch_headers(&self, caller: &HeaderMap, dispatch: &Dispatch<'_>) -> HeaderMap;
 
     /// Reads what the head of an upstream's answer says of the request `id`.
-    fn reply(&self, head: &response::Parts, id: &str) -> Reply;
+    fn check_response(&self, head: &response::Parts, id: &str) -> ResponseCheck;
 
     /// Whether the head of an upstream's answer says that the upstream leaves.
-    fn leaves(&self, head: &response::Parts) -> bool;
+    fn is_leaving(&self, head: &response::Parts) -> bool;
 
     /// How long the upstream wants nothing from this gateway, in milliseconds, if the head of its answer refuses a request and says so.
     ///
     /// # Errors
     /// Says what can't be read.
-    fn rest_ms(&self, head: &response::Parts) -> Result<Option<u64>, Malformed>;
+    fn retry_after_ms(&self, head: &response::Parts) -> Result<Option<u64>, Malformed>;
 
     /// How long the upstream still warms up, in milliseconds, if the head of its answer says so.
     ///
@@ -172,5 +172,5 @@
     fn limit_per_s(&self, head: &response::Parts) -> Result<Option<f64>, Malformed>;
 
     /// Names the request in an answer of the router's own.
-    fn label(&self, id: &str, headers: &mut HeaderMap);
+    fn add_request_id(&self, id: &str, headers: &mut HeaderMap);
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -18,15 +18,15 @@
 use store::rows::Rows;
 
 /// How long the address of an upstream is asked for a connection: some round trips within a region.
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The pause before it is asked: a process that ends closes its connections and its listener one after the other.
-const PROBE_PAUSE: Duration = Duration::from_millis(100);
+const PROBE_DELAY: Duration = Duration::from_millis(100);
 /// The pause after a call to the store failed.
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// How often the table is read while some are denied, and in a large fleet the time for each gateway: a hundred reads a second of all of
 /// them together. So long a denial that was lifted is in force at most.
-const READ_AGAIN: Duration = Duration::from_secs(10);
-const READ_SHARE_MS: u64 = 10;
+const READ_INTERVAL: Duration = Duration::from_secs(10);
+const READ_INTERVAL_PER_GATEWAY_MS: u64 = 10;
 
 /// A run that broke off.
 #[derive(Clone, Debug)]
@@ -68,17 +68,17 @@
         let lost = LostRun { upstream, request, fingerprint, begun_ms };
         // It goes on if the caller leaves, who may be the one that sends such requests.
         let (done, waiting) = async_channel::bounded::<()>(1);
-        let inspecting = inspect(self.node.clone(), lost);
+        let inspection = inspect(self.node.clone(), lost);
         exec::spawn(async move {
-            inspecting.await;
+            inspection.await;
             drop(done);
         })
         .detach();
-        if is_suspect { Inspection::Wait(waiting) } else { Inspection::Beside }
+        if is_suspect { Inspection::Wait(waiting) } else { Inspection::Background }
     }
 
     /// Takes in that an upstream outlived a run of this request.
-    pub(crate) fn outlived(&self) {
+    pub(crate) fn record_survival(&self) {
         if self.node.quarantine().is_empty() {
             return;
         }
@@ -99,14 +99,14 @@
 /// Whether more may be dispatched before a run that broke off was looked into.
 pub(crate) enum Inspection {
     /// It may.
-    Beside,
+    Background,
     /// Only once this is closed.
     Wait(async_channel::Receiver<()>),
 }
 
 impl Inspection {
     /// Waits until more may be dispatched.
-    pub(crate) async fn done(self) {
+    pub(crate) async fn wait(self) {
         if let Inspection::Wait(waiting) = self {
             // Nothing is sent: it ends with an error once the inspection is done.
             let _ = waiting.recv().await;
@@ -149,8 +149,8 @@
 /// Asks the upstream's address for a connection: a process that has ended refuses, a broken connection alone says nothing.
 async fn inspect<W: Wire, S: Rows>(node: Arc<Node<W, S>>, lost: LostRun) {
     let Some(address) = node.listings().get(&lost.upstream).map(|listing| listing.address) else { return };
-    exec::sleep(PROBE_PAUSE).await;
-    let reach = net::probe(address, PROBE_LIMIT).await;
+    exec::sleep(PROBE_DELAY).await;
+    let reach = net::probe(address, PROBE_TIMEOUT).await;
     let LostRun { upstream, request, fingerprint, begun_ms } = &lost;
     let is_leaving = node.places().leaves(upstream);
     log::warn!(
@@ -198,7 +198,7 @@
     for Decision { fingerprint, upstreams, is_own } in denied {
         let names = upstreams.join(",");
         log::warn!("quarantine: event=denied fingerprint={fingerprint} upstreams={names} told-by=self");
-        count(&node);
+        update_gauge(&node);
         if is_own {
             exec::spawn(announce(node.clone(), fingerprint, upstreams)).detach();
         }
@@ -235,7 +235,7 @@
             }
             Err(error) => log::warn!("quarantine: event=not-kept fingerprint={fingerprint} {error}"),
         }
-        exec::sleep(AGAIN).await;
+        exec::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -259,10 +259,10 @@
         let names = upstreams.join(",");
         log::warn!("quarantine: event=denied fingerprint={fingerprint} upstreams={names} told-by={told_by}");
     }
-    count(node);
+    update_gauge(node);
 }
 
-fn count<W: Wire, S: Rows>(node: &Node<W, S>) {
+fn update_gauge<W: Wire, S: Rows>(node: &Node<W, S>) {
     node.metrics.quarantined.set(node.quarantine().denied() as i64);
 }
 
@@ -276,10 +276,12 @@
                 more.await;
                 continue;
             }
-            Ok(()) => READ_AGAIN.max(Duration::from_millis(node.fleet_size() * READ_SHARE_MS)),
+            Ok(()) => {
+                READ_INTERVAL.max(Duration::from_millis(node.fleet_size() * READ_INTERVAL_PER_GATEWAY_MS))
+            }
             Err(error) => {
                 log::warn!("quarantine: event=not-read {error}");
-                AGAIN
+                RETRY_DELAY
             }
         };
         exec::timeout(pause, more).await;
@@ -301,12 +303,12 @@
 fn lift<W: Wire, S: Rows>(node: &Node<W, S>, fingerprint: Fingerprint) {
     if node.quarantine().lift(fingerprint) {
         log::warn!("quarantine: event=lifted fingerprint={fingerprint} told-by=store");
-        count(node);
+        update_gauge(node);
     }
 }
 
 /// Takes in which version of the table another gateway has read. It is asked for once: a row of that version may be gone by now.
-pub(crate) fn compare<W: Wire, S: Rows>(node: &Node<W, S>, version: u64) {
+pub(crate) fn observe_version<W: Wire, S: Rows>(node: &Node<W, S>, version: u64) {
     if version > node.quarantine_version.fetch_max(version, Ordering::Relaxed) {
         node.quarantine_grew.notify(usize::MAX);
     }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,6 +1,6 @@
 //! Answers of the router's own.
 
-use crate::body::Body;
+use crate::body::WholeBody;
 use http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{Response, StatusCode};
 use hyper::body::Bytes;
@@ -14,32 +14,32 @@
     /// No route takes it.
     NoRoute,
     /// It has no known access key.
-    NoKey,
+    NoAccessKey,
     /// Its body is too long.
-    TooLong,
+    BodyTooLarge,
     /// The caller broke its body off.
-    BodyBroken,
+    BodyIncomplete,
     /// Whether it ends upstreams is being decided on.
-    Undecided,
+    QuarantinePending,
     /// Upstreams ended while they ran it, so it is not run again.
     Quarantined,
     /// The budget can't hold it at its most.
-    BudgetSpent,
+    BudgetExhausted,
     /// Tokens are left, but none can be had now; when that may change, in milliseconds.
-    BudgetAway(u64),
+    BudgetUnavailable(u64),
     /// Other routers hold the tokens that are left; when that may change, in milliseconds.
-    BudgetElsewhere(u64),
+    BudgetHeldElsewhere(u64),
     /// No manifest is known yet.
     NotConfigured,
     /// The manifest in force does not allow it, but a newer one is on its way.
-    Changing,
+    ManifestChanging,
     /// This router is stopping.
     Stopping,
     /// No upstream serves it now.
     NoUpstream,
     /// Every upstream that serves it asked for rest or has reached its request limit; the time until the first one
     /// accepts requests again, in milliseconds.
-    Resting(u64),
+    UpstreamsUnavailable(u64),
     /// Every upstream tried refused it or could not be reached.
     NotRun,
     /// It was sent, and its time ran out.
@@ -54,19 +54,19 @@
         match self {
             Refusal::Malformed => "malformed",
             Refusal::NoRoute => "no-route",
-            Refusal::NoKey => "no-key",
-            Refusal::TooLong => "too-long",
-            Refusal::BodyBroken => "body-broken",
-            Refusal::Undecided => "undecided",
+            Refusal::NoAccessKey => "no-key",
+            Refusal::BodyTooLarge => "too-long",
+            Refusal::BodyIncomplete => "body-broken",
+            Refusal::QuarantinePending => "undecided",
             Refusal::Quarantined => "quarantined",
-            Refusal::BudgetSpent => "budget-spent",
-            Refusal::BudgetAway(_) => "budget-away",
-            Refusal::BudgetElsewhere(_) => "budget-elsewhere",
+            Refusal::BudgetExhausted => "budget-spent",
+            Refusal::BudgetUnavailable(_) => "budget-away",
+            Refusal::BudgetHeldElsewhere(_) => "budget-elsewhere",
             Refusal::NotConfigured => "not-configured",
-            Refusal::Changing => "changing",
+            Refusal::ManifestChanging => "changing",
             Refusal::Stopping => "stopping",
             Refusal::NoUpstream => "no-upstream",
-            Refusal::Resting(_) => "resting",
+            Refusal::UpstreamsUnavailable(_) => "resting",
             Refusal::NotRun => "not-run",
             Refusal::TimedOut => "timed-out",
             Refusal::Failed => "failed",
@@ -76,19 +76,19 @@
     fn status(self) -> StatusCode {
         match self {
             // A caller that sends the same again gets the same answer: no status says that it may try later.
-            Refusal::Malformed | Refusal::BodyBroken | Refusal::Quarantined => StatusCode::BAD_REQUEST,
+            Refusal::Malformed | Refusal::BodyIncomplete | Refusal::Quarantined => StatusCode::BAD_REQUEST,
             Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::NoKey => StatusCode::UNAUTHORIZED,
-            Refusal::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::BudgetSpent => StatusCode::PAYMENT_REQUIRED,
-            Refusal::BudgetAway(_)
-            | Refusal::BudgetElsewhere(_)
-            | Refusal::Undecided
+            Refusal::NoAccessKey => StatusCode::UNAUTHORIZED,
+            Refusal::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Refusal::BudgetExhausted => StatusCode::PAYMENT_REQUIRED,
+            Refusal::BudgetUnavailable(_)
+            | Refusal::BudgetHeldElsewhere(_)
+            | Refusal::QuarantinePending
             | Refusal::NotConfigured
-            | Refusal::Changing
+            | Refusal::ManifestChanging
             | Refusal::Stopping
             | Refusal::NoUpstream
-            | Refusal::Resting(_)
+            | Refusal::UpstreamsUnavailable(_)
             | Refusal::NotRun => StatusCode::SERVICE_UNAVAILABLE,
             Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             Refusal::Failed => StatusCode::BAD_GATEWAY,
@@ -98,12 +98,12 @@
     /// When coming back may help, in milliseconds: the time that each cause usually lasts.
     fn retry_ms(self) -> Option<u64> {
         match self {
-            Refusal::BudgetAway(millis) | Refusal::BudgetElsewhere(millis) | Refusal::Resting(millis) => {
-                Some(millis)
-            }
-            Refusal::Undecided => Some(2 * GATHER_MS),
+            Refusal::BudgetUnavailable(millis)
+            | Refusal::BudgetHeldElsewhere(millis)
+            | Refusal::UpstreamsUnavailable(millis) => Some(millis),
+            Refusal::QuarantinePending => Some(2 * GATHER_MS),
             Refusal::NotConfigured => Some(500),
-            Refusal::Changing => Some(500),
+            Refusal::ManifestChanging => Some(500),
             Refusal::Stopping => Some(50),
             Refusal::NoUpstream => Some(500),
             Refusal::NotRun => Some(200),
@@ -122,7 +122,7 @@
     }
 
     /// The answer.
-    pub(crate) fn response(self) -> Response<Body> {
+    pub(crate) fn response(self) -> Response<WholeBody> {
         let mut body = serde_json::json!({"error": self.name()});
         if let Some(detail) = self.detail() {
             body["detail"] = detail.into();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,9 +1,9 @@
 //! Passing a stream of events on as it comes, and taking it up at another upstream if it breaks off.
 
-use crate::attempt::{First, Flow};
-use crate::event::Splitter;
-use crate::job::{Job, Meter};
-use crate::manifest::Kind;
+use crate::attempt::{OpenStream, Outcome};
+use crate::event::EventSplitter;
+use crate::job::{Job, TokenMeter};
+use crate::manifest::RouteKind;
 use crate::ports::Wire;
 use async_channel::Receiver;
 use futures::{Stream, StreamExt};
@@ -20,9 +20,9 @@
 use store::rows::Rows;
 
 /// How often a stream looks whether it stalls or its time is over.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// A resumable stream is taken up elsewhere after this multiple of its greatest intended pause in silence.
-const STALL: u64 = 3;
+const STALL_FACTOR: u64 = 3;
 /// Upstreams that may continue one stream beside those that the route allows: those that broke off do not run it.
 const EXTRA_RUNS: u32 = 1;
 
@@ -30,35 +30,35 @@
 pub(crate) struct Relay<W: Wire, S: Rows> {
     job: Arc<Job<W, S>>,
     state: State<W, S>,
-    splitter: Splitter,
-    meter: Meter,
+    splitter: EventSplitter,
+    meter: TokenMeter,
     ready: Option<Bytes>,
-    look: Timer,
-    heard: Millis,
+    check_timer: Timer,
+    last_received: Millis,
     began: Millis,
     /// When the run that it comes from now gave its first answer.
     run_began: Millis,
-    gap: Millis,
+    longest_gap: Millis,
     pauses: Pauses,
 }
 
 enum State<W: Wire, S: Rows> {
-    Flowing(Box<Flow<W, S>>),
-    Switching(Pin<Box<Receiver<Resumed<W, S>>>>),
+    Streaming(Box<OpenStream<W, S>>),
+    Resuming(Pin<Box<Receiver<Resumed<W, S>>>>),
     Ended,
 }
 
 /// A stream taken up at another upstream, with the splitter that read its first events.
 struct Resumed<W: Wire, S: Rows> {
-    flow: Box<Flow<W, S>>,
-    splitter: Splitter,
+    stream: Box<OpenStream<W, S>>,
+    splitter: EventSplitter,
     events: Bytes,
 }
 
 /// What to do next.
-enum Turn {
-    Again,
-    Give(Bytes),
+enum Step {
+    Continue,
+    Yield(Bytes),
     Fail(String),
     Done,
 }
@@ -66,27 +66,31 @@
 impl<W: Wire, S: Rows> Relay<W, S> {
     pub(crate) fn new(
         job: Arc<Job<W, S>>,
-        flow: Box<Flow<W, S>>,
-        splitter: Splitter,
+        stream: Box<OpenStream<W, S>>,
+        splitter: EventSplitter,
         first: Bytes,
-        mut meter: Meter,
+        mut meter: TokenMeter,
     ) -> Relay<W, S> {
         let now = job.node.now();
         let ms = now.saturating_sub(job.request.arrived);
-        job.node.metrics.first.with_label_values(&[&job.request.route.name]).observe(ms as f64 / 1_000.0);
-        meter.pass(splitter.count());
+        job.node
+            .metrics
+            .first_answer_time
+            .with_label_values(&[&job.request.route.name])
+            .observe(ms as f64 / 1_000.0);
+        meter.record_events(splitter.count());
         let pauses = Pauses::new(job.node.now_exact());
         Relay {
             job,
-            state: State::Flowing(flow),
+            state: State::Streaming(stream),
             splitter,
             meter,
             ready: Some(first),
-            look: Timer::interval(LOOK),
-            heard: now,
+            check_timer: Timer::interval(CHECK_INTERVAL),
+            last_received: now,
             began: now,
             run_began: now,
-            gap: 0,
+            longest_gap: 0,
             pauses,
         }
     }
@@ -97,25 +101,25 @@
             return Poll::Ready(Some(Ok(bytes)));
         }
         loop {
-            let turn = match &mut self.state {
-                State::Flowing(flow) => match Pin::new(&mut flow.body).poll_frame(context) {
-                    Poll::Ready(frame) => self.take(frame),
-                    Poll::Pending => ready!(self.poll_look(context)),
+            let step = match &mut self.state {
+                State::Streaming(stream) => match Pin::new(&mut stream.body).poll_frame(context) {
+                    Poll::Ready(frame) => self.handle_frame(frame),
+                    Poll::Pending => ready!(self.poll_check(context)),
                 },
-                State::Switching(receiver) => match receiver.as_mut().poll_next(context) {
-                    Poll::Ready(resumed) => self.take_up(resumed),
-                    Poll::Pending => ready!(self.poll_look(context)),
+                State::Resuming(receiver) => match receiver.as_mut().poll_next(context) {
+                    Poll::Ready(resumed) => self.finish_resume(resumed),
+                    Poll::Pending => ready!(self.poll_check(context)),
                 },
                 State::Ended => return Poll::Ready(None),
             };
-            match turn {
-                Turn::Again => {}
-                Turn::Give(bytes) => return Poll::Ready(Some(Ok(bytes))),
-                Turn::Done => {
+            match step {
+                Step::Continue => {}
+                Step::Yield(bytes) => return Poll::Ready(Some(Ok(bytes))),
+                Step::Done => {
                     self.state = State::Ended;
                     return Poll::Ready(None);
                 }
-                Turn::Fail(reason) => {
+                Step::Fail(reason) => {
                     self.state = State::Ended;
                     self.end("broken", &reason);
                     return Poll::Ready(Some(Err(io::Error::other(reason))));
@@ -124,31 +128,31 @@
         }
     }
 
-    fn take(&mut self, frame: Option<Result<http_body::Frame<Bytes>, hyper::Error>>) -> Turn {
+    fn handle_frame(&mut self, frame: Option<Result<http_body::Frame<Bytes>, hyper::Error>>) -> Step {
         match frame {
             Some(Ok(frame)) => {
-                let Ok(data) = frame.into_data() else { return Turn::Again };
+                let Ok(data) = frame.into_data() else { return Step::Continue };
                 let now = self.job.node.now();
-                self.gap = self.gap.max(now.saturating_sub(self.heard));
-                self.heard = now;
-                self.job.node.load.relay(data.len());
+                self.longest_gap = self.longest_gap.max(now.saturating_sub(self.last_received));
+                self.last_received = now;
+                self.job.node.load.record_relayed(data.len());
                 let events = self.splitter.push(data);
                 if events.is_empty() {
-                    return Turn::Again;
+                    return Step::Continue;
                 }
                 self.observe();
-                self.meter.pass(self.splitter.count());
-                Turn::Give(events)
+                self.meter.record_events(self.splitter.count());
+                Step::Yield(events)
             }
-            Some(Err(error)) => self.switch(&format!("the stream broke off: {error}")),
+            Some(Err(error)) => self.start_resume(&format!("the stream broke off: {error}")),
             None => self.complete(),
         }
     }
 
     /// Tells the picture of the upstream how fast the events come.
     fn observe(&mut self) {
-        let State::Flowing(flow) = &self.state else { return };
-        let upstream = &flow.seat.upstream;
+        let State::Streaming(stream) = &self.state else { return };
+        let upstream = &stream.slot.upstream;
         match self.pauses.next(self.job.node.now_exact()) {
             Pause::Quiet(ms) => self.job.node.places().quiet(upstream, ms),
             Pause::Long(ms) => self.job.node.places().pause(upstream, ms, self.job.node.now()),
@@ -156,60 +160,63 @@
         }
     }
 
-    fn complete(&mut self) -> Turn {
-        let rest = self.splitter.take_rest();
-        if let State::Flowing(flow) = std::mem::replace(&mut self.state, State::Ended) {
-            self.job.node.places().succeed(&flow.seat.upstream, None);
-            self.job.outlived();
-            flow.lease.keep();
+    fn complete(&mut self) -> Step {
+        let rest = self.splitter.take_partial();
+        if let State::Streaming(stream) = std::mem::replace(&mut self.state, State::Ended) {
+            self.job.node.places().succeed(&stream.slot.upstream, None);
+            self.job.record_survival();
+            stream.lease.keep();
         }
         self.end("complete", "");
-        if rest.is_empty() { Turn::Done } else { Turn::Give(rest) }
+        if rest.is_empty() { Step::Done } else { Step::Yield(rest) }
     }
 
     /// Looks whether the time is over or the upstream fell silent.
-    fn poll_look(&mut self, context: &mut Context<'_>) -> Poll<Turn> {
-        ready!(self.look.poll_next_unpin(context));
+    fn poll_check(&mut self, context: &mut Context<'_>) -> Poll<Step> {
+        ready!(self.check_timer.poll_next_unpin(context));
         let now = self.job.node.now();
         if now >= self.job.deadline {
-            return Poll::Ready(Turn::Fail("the time is over".to_owned()));
+            return Poll::Ready(Step::Fail("the time is over".to_owned()));
         }
-        let stalled = now.saturating_sub(self.heard) > STALL * self.job.request.route.gap_ms;
-        if stalled && matches!(self.state, State::Flowing(_)) && self.job.kind() == Kind::ResumableStream {
-            return Poll::Ready(self.switch("the upstream fell silent"));
+        let stalled = now.saturating_sub(self.last_received) > STALL_FACTOR * self.job.request.route.gap_ms;
+        if stalled
+            && matches!(self.state, State::Streaming(_))
+            && self.job.kind() == RouteKind::ResumableStream
+        {
+            return Poll::Ready(self.start_resume("the upstream fell silent"));
         }
-        Poll::Ready(Turn::Again)
+        Poll::Ready(Step::Continue)
     }
 
     /// Takes the stream up elsewhere, if the route allows it.
-    fn switch(&mut self, reason: &str) -> Turn {
-        let State::Flowing(flow) = std::mem::replace(&mut self.state, State::Ended) else {
-            return Turn::Fail(reason.to_owned());
+    fn start_resume(&mut self, reason: &str) -> Step {
+        let State::Streaming(stream) = std::mem::replace(&mut self.state, State::Ended) else {
+            return Step::Fail(reason.to_owned());
         };
-        let upstream = flow.seat.upstream.clone();
+        let upstream = stream.slot.upstream.clone();
         let inspection =
             self.job.inspect(&upstream, Some(self.job.node.now().saturating_sub(self.run_began)));
         // The run there must have ended before another one begins.
-        drop(flow);
+        drop(stream);
         let now = self.job.node.now();
         self.job.node.places().fail(&upstream, now);
-        if self.job.kind() != Kind::ResumableStream {
-            return Turn::Fail(reason.to_owned());
+        if self.job.kind() != RouteKind::ResumableStream {
+            return Step::Fail(reason.to_owned());
         }
         log::warn!(
             "request: id={} event=stream-broken upstream={upstream} last-event={:?} reason=\"{reason}\"",
             self.job.request.ask.id,
-            self.splitter.last(),
+            self.splitter.last_id(),
         );
-        self.job.tries().avoid.push(upstream);
+        self.job.progress().excluded.push(upstream);
         let (sender, receiver) = async_channel::bounded(1);
         let job = self.job.clone();
         let mut splitter = std::mem::take(&mut self.splitter);
-        splitter.restart();
+        splitter.discard_partial();
         exec::spawn(async move {
             let closed = sender.clone();
             let resuming = async {
-                inspection.done().await;
+                inspection.wait().await;
                 job.resume(splitter).await
             };
             let gone = async {
@@ -221,27 +228,27 @@
             }
         })
         .detach();
-        self.state = State::Switching(Box::pin(receiver));
-        Turn::Again
+        self.state = State::Resuming(Box::pin(receiver));
+        Step::Continue
     }
 
-    fn take_up(&mut self, resumed: Option<Resumed<W, S>>) -> Turn {
+    fn finish_resume(&mut self, resumed: Option<Resumed<W, S>>) -> Step {
         let Some(resumed) = resumed else {
-            return Turn::Fail("no upstream could continue the stream".to_owned());
+            return Step::Fail("no upstream could continue the stream".to_owned());
         };
-        self.heard = self.job.node.now();
-        self.run_began = self.heard;
+        self.last_received = self.job.node.now();
+        self.run_began = self.last_received;
         self.pauses = Pauses::new(self.job.node.now_exact());
         self.splitter = resumed.splitter;
-        self.meter.pass(self.splitter.count());
-        self.state = State::Flowing(resumed.flow);
-        Turn::Give(resumed.events)
+        self.meter.record_events(self.splitter.count());
+        self.state = State::Streaming(resumed.stream);
+        Step::Yield(resumed.events)
     }
 
     fn end(&self, outcome: &str, detail: &str) {
         let tokens = self.meter.tokens();
         let first_ms = self.began.saturating_sub(self.job.request.arrived);
-        let (events, gap_ms) = (self.splitter.count(), self.gap);
+        let (events, gap_ms) = (self.splitter.count(), self.longest_gap);
         self.job.log_end(
             outcome,
             format_args!("first-ms={first_ms} gap-ms={gap_ms} events={events} tokens={tokens} {detail}"),
@@ -259,22 +266,22 @@
 
 impl<W: Wire, S: Rows> Job<W, S> {
     /// Continues a broken stream at another upstream.
-    async fn resume(&self, mut splitter: Splitter) -> Option<Resumed<W, S>> {
+    async fn resume(&self, mut splitter: EventSplitter) -> Option<Resumed<W, S>> {
         loop {
-            if self.remaining().is_zero() || self.tries().ran >= self.request.route.attempts + EXTRA_RUNS {
+            if self.remaining().is_zero() || self.progress().ran >= self.request.route.attempts + EXTRA_RUNS {
                 return None;
             }
             let chosen = self.choose()?;
-            if !self.may_repeat() || !self.repeat("resume") {
+            if !self.may_repeat() || !self.take_repeat("resume") {
                 return None;
             }
-            let after = splitter.last();
+            let after = splitter.last_id();
             let first = self.attempt(&chosen, &mut splitter, after, true).await;
-            self.note(&chosen.upstream, &first);
+            self.record_attempt(&chosen.upstream, &first);
             match first {
-                First::Stream(_, flow, events) => return Some(Resumed { flow, splitter, events }),
-                First::TimedOut => return None,
-                _ => splitter.restart(),
+                Outcome::Stream(_, stream, events) => return Some(Resumed { stream, splitter, events }),
+                Outcome::TimedOut => return None,
+                _ => splitter.discard_partial(),
             }
         }
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -11,12 +11,12 @@
 use yaml::{Mistake, Reader};
 
 /// The keys of the settings.
-const KEYS: &str =
+const KNOWN_KEYS: &str =
     "name, data-centre, listen, store, store-writes-per-s, threads, cpu-share, link-mbps, record-ms, bounds";
 /// How long charges may wait for a settlement: notes tell of them, so it only keeps the record.
-const RECORD_MS: u64 = 8_000;
+const DEFAULT_RECORD_MS: u64 = 8_000;
 /// Writes that the store takes in a second where the settings don't say: today's smallest deployments have so many.
-const STORE_WRITES_PER_S: u64 = 600;
+const DEFAULT_STORE_WRITES_PER_S: u64 = 600;
 
 /// Everything a gateway learns from its settings.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -90,14 +90,14 @@
             let listen = reader.need::<Listen>(&mut root, "listen");
             let store = reader.need::<SocketAddr>(&mut root, "store");
             let writes = reader.take::<u64>(&mut root, "store-writes-per-s");
-            let store_writes_per_s = writes.unwrap_or(STORE_WRITES_PER_S);
+            let store_writes_per_s = writes.unwrap_or(DEFAULT_STORE_WRITES_PER_S);
             let threads = reader.take::<usize>(&mut root, "threads").unwrap_or(1);
             let cpu_share = reader.take::<f64>(&mut root, "cpu-share").unwrap_or(1.0);
             let link_mbps = reader.take::<f64>(&mut root, "link-mbps");
-            let record_ms = reader.take::<u64>(&mut root, "record-ms").unwrap_or(RECORD_MS);
+            let record_ms = reader.take::<u64>(&mut root, "record-ms").unwrap_or(DEFAULT_RECORD_MS);
             let bounds = reader.take::<Bounds>(&mut root, "bounds").unwrap_or_default();
             for key in root.keys().filter_map(|key| key.as_str()) {
-                reader.add(&[key], format!("unknown key; known are {KEYS}"));
+                reader.add(&[key], format!("unknown key; known are {KNOWN_KEYS}"));
             }
             check(reader, threads, &bounds);
             if store_writes_per_s == 0 {
@@ -131,7 +131,7 @@
     }
 
     /// The time between the request to stop and the end of the process.
-    pub(crate) fn grace(&self) -> Duration {
+    pub(crate) fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s)
     }
 }
--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/store_health.rs
@@ -7,87 +7,89 @@
 
 /// Calls in a row that the store refused before it counts as away: it also refuses when it is overrun, and then another
 /// gateway's call would be one more.
-pub(crate) const REFUSALS: u32 = 4;
+pub(crate) const MAX_REFUSALS: u32 = 4;
 /// A call without an answer counts as lost after this multiple of the usual time, in a range that holds a store which is
 /// loaded and one that is slow, in milliseconds.
-const PATIENCE: f64 = 20.0;
-const PATIENCE_MS: (f64, f64) = (250.0, 1_200.0);
+const TIMEOUT_FACTOR: f64 = 20.0;
+const TIMEOUT_RANGE_MS: (f64, f64) = (250.0, 1_200.0);
 /// The weight of a new sample in the usual time of a call.
-const SAMPLE: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// How long a gateway that could not help is not asked again.
-pub(crate) const REST: Duration = Duration::from_millis(500);
+pub(crate) const HELPER_BACKOFF: Duration = Duration::from_millis(500);
 /// Gateways asked for one call at most.
-const ASKED: usize = 2;
+const MAX_HELPERS: usize = 2;
 /// After so many gateways in a row that could not help, none is asked for a while: all have lost the store then. A third of
 /// them away, that is taken for all once in 700 times.
-pub(crate) const HELPLESS: u32 = 6;
-const HELPLESS_REST: Duration = Duration::from_millis(1_000);
+pub(crate) const MAX_FAILED_HELPERS: u32 = 6;
+const ALL_HELPERS_BACKOFF: Duration = Duration::from_millis(1_000);
 
 /// Whether the direct way works, as far as this gateway knows.
 #[derive(Debug)]
-pub(crate) struct Access {
-    away_since: Option<Instant>,
+pub(crate) struct StoreHealth {
+    unreachable_since: Option<Instant>,
     refusals: u32,
     /// The usual time of a call, in milliseconds.
-    usual_ms: f64,
+    average_ms: f64,
     /// Other gateways, with the time until which each is left alone.
     pub(crate) peers: Vec<(SocketAddr, Instant)>,
     /// Gateways in a row that could not help.
-    helpless: u32,
+    failed_helpers: u32,
     /// No gateway is asked until then.
-    pub(crate) rests_until: Option<Instant>,
+    pub(crate) paused_until: Option<Instant>,
 }
 
-impl Default for Access {
-    fn default() -> Access {
-        Access {
-            away_since: None,
+impl Default for StoreHealth {
+    fn default() -> StoreHealth {
+        StoreHealth {
+            unreachable_since: None,
             refusals: 0,
-            usual_ms: PATIENCE_MS.0 / PATIENCE,
+            average_ms: TIMEOUT_RANGE_MS.0 / TIMEOUT_FACTOR,
             peers: vec![],
-            helpless: 0,
-            rests_until: None,
+            failed_helpers: 0,
+            paused_until: None,
         }
     }
 }
 
-impl Access {
+impl StoreHealth {
     /// Whether calls go by way of other gateways, if there are any.
-    pub(crate) fn is_away(&self) -> bool {
-        self.away_since.is_some()
+    pub(crate) fn is_unreachable(&self) -> bool {
+        self.unreachable_since.is_some()
     }
 
     /// How long a direct call is waited for.
-    pub(crate) fn patience(&self) -> Duration {
-        Duration::from_millis((PATIENCE * self.usual_ms).clamp(PATIENCE_MS.0, PATIENCE_MS.1) as u64)
+    pub(crate) fn call_timeout(&self) -> Duration {
+        Duration::from_millis(
+            (TIMEOUT_FACTOR * self.average_ms).clamp(TIMEOUT_RANGE_MS.0, TIMEOUT_RANGE_MS.1) as u64,
+        )
     }
 
     /// Takes in a direct answer; how long the store was away if it was.
-    pub(crate) fn answered(&mut self, ms: Option<f64>) -> Option<Duration> {
+    pub(crate) fn record_answer(&mut self, ms: Option<f64>) -> Option<Duration> {
         if let Some(ms) = ms {
-            self.usual_ms += SAMPLE * (ms - self.usual_ms);
+            self.average_ms += SAMPLE_WEIGHT * (ms - self.average_ms);
         }
         self.refusals = 0;
-        self.away_since.take().map(|since| since.elapsed())
+        self.unreachable_since.take().map(|since| since.elapsed())
     }
 
     /// Takes in that a direct call had no answer; `true` if the store is away from now on.
-    pub(crate) fn lost(&mut self) -> bool {
+    pub(crate) fn record_no_answer(&mut self) -> bool {
         // It may be slow: the next call waits longer.
-        self.usual_ms = (2.0 * self.usual_ms).min(PATIENCE_MS.1 / PATIENCE);
-        self.leave()
+        self.average_ms = (2.0 * self.average_ms).min(TIMEOUT_RANGE_MS.1 / TIMEOUT_FACTOR);
+        self.mark_unreachable()
     }
 
     /// Takes in that the store refused a direct call; `true` if it is away from now on.
-    pub(crate) fn refused(&mut self) -> bool {
+    pub(crate) fn record_refusal(&mut self) -> bool {
         self.refusals += 1;
-        self.refusals >= REFUSALS && self.leave()
+        self.refusals >= MAX_REFUSALS && self.mark_unreachable()
     }
 
-    fn leave(&mut self) -> bool {
-        let was_here = self.away_since.is_none();
-        self.away_since.get_or_insert_with(Instant::now);
-        was_here
+    fn mark_unreachable(&mut self) -> bool {
+        let was_reachable = self.unreachable_since.is_none();
+        self.unreachable_since.get_or_insert_with(Instant::now);
+        was_reachable
     }
 
     /// Takes in where the other gateways listen. Each gateway asks them in an order of its own, so that those of a fleet
@@ -105,27 +107,27 @@
     /// The gateways to ask: not those that could not help a moment ago.
     pub(crate) fn helpers(&self) -> Vec<SocketAddr> {
         let now = Instant::now();
-        if self.rests_until.is_some_and(|until| until > now) {
+        if self.paused_until.is_some_and(|until| until > now) {
             return vec![];
         }
         let rested = self.peers.iter().filter(|(_, until)| *until <= now);
-        rested.map(|(peer, _)| *peer).take(ASKED).collect()
+        rested.map(|(peer, _)| *peer).take(MAX_HELPERS).collect()
     }
 
     /// Takes in that a gateway helped.
-    pub(crate) fn helped(&mut self) {
-        self.helpless = 0;
+    pub(crate) fn record_helped(&mut self) {
+        self.failed_helpers = 0;
     }
 
     /// Leaves a gateway alone for a while, and asks the others before it.
-    pub(crate) fn rest(&mut self, peer: SocketAddr) {
-        self.helpless += 1;
-        if self.helpless >= HELPLESS {
-            self.helpless = 0;
-            self.rests_until = Some(Instant::now() + HELPLESS_REST);
+    pub(crate) fn back_off(&mut self, peer: SocketAddr) {
+        self.failed_helpers += 1;
+        if self.failed_helpers >= MAX_FAILED_HELPERS {
+            self.failed_helpers = 0;
+            self.paused_until = Some(Instant::now() + ALL_HELPERS_BACKOFF);
         }
         let Some(index) = self.peers.iter().position(|(other, _)| *other == peer) else { return };
         self.peers.remove(index);
-        self.peers.push((peer, Instant::now() + REST));
+        self.peers.push((peer, Instant::now() + HELPER_BACKOFF));
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -217,7 +217,7 @@
 fn adopt<W: Wire, S: Rows>(node: &Node<W, S>, record: &Record) -> Option<usize> {
     let (_, name) = node.wire.manifest_row();
     let bytes = record.value.as_deref().filter(|_| record.name == name)?;
-    let manifest = match node.wire.manifest(bytes) {
+    let manifest = match node.wire.decode_manifest(bytes) {
         Ok(manifest) => manifest,
         Err(error) => {
             log::error!("manifest: event=unreadable row-version={} {error}", record.version);
@@ -251,7 +251,9 @@
         }
         let evacuated: Vec<String> = node.places().evacuated().map(str::to_owned).collect();
         let named = |data_centre: &String| {
-            page.records.iter().any(|record| node.wire.evacuated(&record.name) == Some(data_centre))
+            page.records
+                .iter()
+                .any(|record| node.wire.evacuated_data_centre(&record.name) == Some(data_centre))
         };
         for data_centre in evacuated.iter().filter(|data_centre| !named(data_centre)) {
             restore(node, data_centre, page.version);
@@ -259,7 +261,7 @@
     }
 
     fn take<W: Wire, S: Rows>(&mut self, node: &Node<W, S>, record: &Record) {
-        let Some(data_centre) = node.wire.evacuated(&record.name) else { return };
+        let Some(data_centre) = node.wire.evacuated_data_centre(&record.name) else { return };
         let version = self.0.entry(record.name.clone()).or_default();
         if record.version <= *version {
             return;
@@ -276,7 +278,7 @@
 fn evacuate<W: Wire, S: Rows>(node: &Node<W, S>, data_centre: &str, version: u64) {
     let mut places = node.places();
     if places.evacuate(data_centre) {
-        node.metrics.evacuated.set(places.evacuated().count() as i64);
+        node.metrics.data_centres_evacuated.set(places.evacuated().count() as i64);
         log::info!("upstream: event=evacuated data-centre={data_centre} row-version={version}");
     }
 }
@@ -284,7 +286,7 @@
 fn restore<W: Wire, S: Rows>(node: &Node<W, S>, data_centre: &str, version: u64) {
     let mut places = node.places();
     if places.restore(data_centre, node.now()) {
-        node.metrics.evacuated.set(places.evacuated().count() as i64);
+        node.metrics.data_centres_evacuated.set(places.evacuated().count() as i64);
         log::info!("upstream: event=taken-back data-centre={data_centre} row-version={version}");
     }
 }
@@ -378,7 +380,7 @@
     let Some(bytes) = record.value.as_deref() else {
         return vanish(node, known, &record.name);
     };
-    match node.wire.listing(bytes) {
+    match node.wire.decode_listing(bytes) {
         Ok(listing) => begin(node, known, &record.name, record.version, listing),
         Err(error) => {
             // Another writer's entry names no upstream, also in the place of one that did.
--- a/crates/gateway/tests/unit/event.rs
+++ b/crates/gateway/tests/unit/event.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-fn push(splitter: &mut Splitter, text: &'static str) -> String {
+fn push(splitter: &mut EventSplitter, text: &'static str) -> String {
     String::from_utf8(splitter.push(Bytes::from_static(text.as_bytes())).to_vec()).expect("text")
 }
 
 #[test]
 fn only_whole_events_come_out() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let parts = ["id: 1\ndata: a\n", "\nid: 2\nda", "ta: b\n\nid: 3\n", "data: c\n\n"];
     let out: Vec<String> = parts.iter().map(|part| push(&mut splitter, part)).collect();
     assert_eq!(
@@ -16,16 +16,16 @@
         ["", "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"],
         "each event as soon as it is whole"
     );
-    assert_eq!((splitter.count(), splitter.last()), (3, Some(3)));
+    assert_eq!((splitter.count(), splitter.last_id()), (3, Some(3)));
 }
 
 #[test]
 fn a_continued_stream_leaves_out_what_came_before() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     push(&mut splitter, "id: 1\ndata: a\n\nid: 2\ndata: to");
-    splitter.restart();
+    splitter.discard_partial();
     let out = push(&mut splitter, "id: 1\ndata: a\n\nid: 2\ndata: torn\n\nid: 3\ndata: c\n\n");
     assert_eq!(out, "id: 2\ndata: torn\n\nid: 3\ndata: c\n\n");
     assert_eq!(splitter.count(), 3);
-    assert!(splitter.take_rest().is_empty());
+    assert!(splitter.take_partial().is_empty());
 }
--- a/crates/gateway/tests/unit/failover.rs
+++ b/crates/gateway/tests/unit/failover.rs
@@ -1,7 +1,7 @@
 //! Calls to the store by way of another gateway.
 
 use super::*;
-use crate::access::{HELPLESS, REFUSALS, REST};
+use crate::store_health::{HELPER_BACKOFF, MAX_FAILED_HELPERS, MAX_REFUSALS};
 use net::{Handle, Limits};
 use standin::{Link, Proxy, TableRows};
 use store::rows::Key;
@@ -142,7 +142,7 @@
 
         cut.set(Way::Open);
         exec::sleep(3 * PROBE).await;
-        assert!(!failover.lock().is_away(), "the direct way is taken again");
+        assert!(!failover.lock().is_unreachable(), "the direct way is taken again");
     });
 }
 
@@ -172,7 +172,7 @@
         let failover = Failover::new(cut.clone());
         failover.set_peers(&[handle.address()]);
         cut.set(Way::Busy);
-        for _ in 1..REFUSALS {
+        for _ in 1..MAX_REFUSALS {
             let error = failover.commit(&put("one")).await.expect_err("it is refused");
             assert_eq!(error.fault, Fault::NotApplied);
         }
@@ -197,7 +197,7 @@
         assert!(failover.list("things", "").await.is_err());
         assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
         first.set(Way::Open);
-        exec::sleep(3 * PROBE + REST).await;
+        exec::sleep(3 * PROBE + HELPER_BACKOFF).await;
         assert!(failover.list("things", "").await.is_ok(), "the other helps once it can");
     });
 }
@@ -270,7 +270,7 @@
         let began = Instant::now();
         assert!(failover.list("things", "").await.is_ok(), "a large answer was on its way");
         assert!(began.elapsed() >= Duration::from_millis(900), "{:?}", began.elapsed());
-        assert!(!failover.lock().is_away(), "it answered after all");
+        assert!(!failover.lock().is_unreachable(), "it answered after all");
     });
 }
 
@@ -279,13 +279,13 @@
     let peers: Vec<SocketAddr> = (1..=50).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
     let failover = Failover::new(Path::new(&TableRows::default()));
     failover.set_peers(&peers);
-    for _ in 0..HELPLESS {
+    for _ in 0..MAX_FAILED_HELPERS {
         let asked = failover.lock().helpers();
         assert!(!asked.is_empty());
-        failover.lock().rest(asked[0]);
+        failover.lock().back_off(asked[0]);
     }
     assert!(failover.lock().helpers().is_empty(), "none of those asked reaches the store");
-    failover.lock().rests_until = Some(Instant::now());
+    failover.lock().paused_until = Some(Instant::now());
     assert!(!failover.lock().helpers().is_empty(), "they are asked again later");
 }
 
@@ -307,6 +307,6 @@
         assert!(answer.is_ok(), "{answer:?} after {:?}", began.elapsed());
         assert!(began.elapsed() < alone.mul_f64(1.3), "{:?}, alone it takes {alone:?}", began.elapsed());
         assert_eq!(by_other.passed(), 0, "bytes that came a second time");
-        assert!(!failover.lock().is_away(), "the store is here");
+        assert!(!failover.lock().is_unreachable(), "the store is here");
     });
 }
--- a/crates/gateway/tests/unit/support.rs
+++ b/crates/gateway/tests/unit/support.rs
@@ -3,7 +3,7 @@
 use crate::manifest::{Manifest, Team};
 use crate::node::Node;
 use crate::notes::{Next, Recovery};
-use crate::ports::{Ask, Dispatch, Listing, Malformed, Reply, Wire};
+use crate::ports::{Ask, Dispatch, Listing, Malformed, ResponseCheck, Wire};
 use crate::settings::{Bounds, Listen, Settings};
 use http::{HeaderMap, request, response};
 use standin::TableRows;
@@ -17,7 +17,7 @@
         ("operator", "manifest")
     }
 
-    fn evacuated<'a>(&self, key: &'a str) -> Option<&'a str> {
+    fn evacuated_data_centre<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix("evacuated ")
     }
 
@@ -25,13 +25,13 @@
         "upstreams"
     }
 
-    fn manifest(&self, bytes: &[u8]) -> Result<Manifest, Malformed> {
+    fn decode_manifest(&self, bytes: &[u8]) -> Result<Manifest, Malformed> {
         let text = String::from_utf8_lossy(bytes);
         let version = text.parse().map_err(|_| Malformed { step: "manifest", reason: text.to_string() })?;
         Ok(Manifest { version, ..Manifest::default() })
     }
 
-    fn listing(&self, bytes: &[u8]) -> Result<Listing, Malformed> {
+    fn decode_listing(&self, bytes: &[u8]) -> Result<Listing, Malformed> {
         let text = String::from_utf8_lossy(bytes);
         let words: Vec<&str> = text.split(' ').collect();
         Ok(Listing {
@@ -48,23 +48,23 @@
         })
     }
 
-    fn ask(&self, _: &request::Parts) -> Result<Ask, Malformed> {
+    fn decode_request(&self, _: &request::Parts) -> Result<Ask, Malformed> {
         Ok(Ask::default())
     }
 
-    fn dispatch(&self, caller: &HeaderMap, _: &Dispatch<'_>) -> HeaderMap {
+    fn dispatch_headers(&self, caller: &HeaderMap, _: &Dispatch<'_>) -> HeaderMap {
         caller.clone()
     }
 
-    fn reply(&self, _: &response::Parts, _: &str) -> Reply {
-        Reply::Sound
+    fn check_response(&self, _: &response::Parts, _: &str) -> ResponseCheck {
+        ResponseCheck::Valid
     }
 
-    fn leaves(&self, _: &response::Parts) -> bool {
+    fn is_leaving(&self, _: &response::Parts) -> bool {
         false
     }
 
-    fn rest_ms(&self, _: &response::Parts) -> Result<Option<u64>, Malformed> {
+    fn retry_after_ms(&self, _: &response::Parts) -> Result<Option<u64>, Malformed> {
         Ok(None)
     }
 
@@ -76,7 +76,7 @@
         Ok(None)
     }
 
-    fn label(&self, _: &str, _: &mut HeaderMap) {}
+    fn add_request_id(&self, _: &str, _: &mut HeaderMap) {}
 }
 
 /// A node that runs no tasks of its own.
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -202,7 +202,7 @@
         operator(&rows, "evacuated here", "{}");
         evacuated(&first, "after a whole read", &["here"]).await;
         rows.set_fault(RowsFault::None);
-        assert_eq!(first.metrics.evacuated.get(), 1);
+        assert_eq!(first.metrics.data_centres_evacuated.get(), 1);
 
         let next = node("vm-1", 2, &rows);
         exec::spawn(manifest(next.clone())).detach();
