--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a request to an upstream, up to its first answer.
+//! One attempt of a request at an upstream, up to the first answer.
 
 use crate::event::EventSplitter;
 use crate::job::{Job, OverdueGuard, UpstreamSlot};
@@ -15,51 +15,52 @@
 use std::time::Duration;
 use store::rows::Rows;
 
-/// An idempotent call is tried elsewhere after this multiple of its target without an answer.
+/// An idempotent call is tried at another upstream after this multiple of its target latency without an
+/// answer.
 const CALL_TIMEOUT_FACTOR: f64 = 1.5;
-/// A stream is tried elsewhere after this multiple of its target without an event.
+/// A resumable stream is tried at another upstream after this multiple of its target latency without an
+/// event.
 const STREAM_TIMEOUT_FACTOR: f64 = 1.6;
-/// Any other request counts as overdue after this multiple of its target.
+/// A request of any other kind counts as overdue after this multiple of its target latency.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// Time between the end of the answer's deadline and the moment at which the router gives up, in milliseconds:
-/// the upstream's own final answer may still come.
+/// The time after a request's deadline at which the gateway gives up, in milliseconds: the upstream's own
+/// final answer may still arrive.
 const DEADLINE_SLACK_MS: u64 = 60;
-/// The largest answer that is no stream, in bytes.
+/// The largest answer that is not a stream, in bytes.
 const ANSWER_LIMIT: usize = 16 << 20;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 6] =
     [CONNECTION, HeaderName::from_static("keep-alive"), TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
-/// A stream that has begun.
+/// A stream whose first events have arrived.
 pub(crate) struct OpenStream<W: Wire, S: Rows> {
     pub body: Incoming,
     pub lease: net::Lease,
     pub slot: UpstreamSlot<W, S>,
 }
 
-/// What a dispatch led to.
+/// The outcome of an attempt.
 pub(crate) enum Outcome<W: Wire, S: Rows> {
-    /// A whole answer.
+    /// The upstream sent a complete answer.
     Complete(response::Parts, Bytes),
-    /// A stream, with its first events.
+    /// The upstream began a stream; the bytes are its first events.
     Stream(response::Parts, Box<OpenStream<W, S>>, Bytes),
-    /// It was not sent: the upstream takes no work any more.
+    /// The request was not sent, because the upstream no longer accepts requests.
     NotSent(String),
     /// The upstream certainly did not run the request.
     NotRun(String),
-    /// It answered with a failure of its own.
+    /// The upstream answered with a server error.
     ServerError(response::Parts, Bytes),
-    /// It may have run the request, and its connection broke before a whole answer came.
+    /// The upstream may have run the request, and the connection broke before the answer was complete.
     ConnectionBroken(String),
-    /// It may have run the request, and no answer that counts came.
+    /// The upstream may have run the request, and no valid answer arrived.
     NoValidAnswer(String),
-    /// The time ran out.
+    /// The deadline passed.
     TimedOut,
 }
 
 impl<W: Wire, S: Rows> Job<W, S> {
-    /// Dispatches the request and waits for the first answer.
     pub(crate) async fn attempt(
         &self,
         chosen: &Chosen,
@@ -69,7 +70,7 @@
     ) -> Outcome<W, S> {
         let node = &self.node;
         let Some(listing) = node.listings().get(&chosen.upstream).cloned() else {
-            return Outcome::NotRun("it is not listed any more".to_owned());
+            return Outcome::NotRun("the upstream is no longer listed".to_owned());
         };
         log::info!(
             "request: id={} event=dispatch upstream={} cost={:.0} first-ms={:.0} unread={} long={} kept-for-short={} open={} candidates={} after={:?}",
@@ -84,7 +85,7 @@
             chosen.candidates,
             after_event,
         );
-        let all = self
+        let connection_limit = self
             .request
             .manifest
             .services
@@ -92,24 +93,25 @@
             .map_or(usize::MAX, |service| service.connections);
         let request = self.build_request(&chosen.upstream, after_event);
         let Some(slot) = UpstreamSlot::take(self, chosen) else {
-            return Outcome::NotSent("it accepts no more requests now".to_owned());
+            return Outcome::NotSent("the upstream accepts no more requests now".to_owned());
         };
         if self.request.ask.prompt.is_some() && node.hints.tells(chosen.uncached, node.now()) {
             let told = node.places().tell(chosen);
             node.hints.tell(&chosen.upstream, told);
         }
-        let most = node.connections(all);
+        let max_connections = node.connections(connection_limit);
         node.load.record_sent(self.request.body.len());
-        // A connection may be waited for while the upstream says that it leaves, or asks for rest.
+        // While the request waits for a connection, the upstream may announce that it leaves or ask for a
+        // back-off.
         let is_wanted = || node.places().admits(&chosen.upstream, node.now());
-        let sending = node.pool.send("dispatch", listing.address, most, request, is_wanted);
+        let sending = node.pool.send("dispatch", listing.address, max_connections, request, is_wanted);
         let began = node.now();
-        let first = self.wait_for_first_answer(chosen, slot, splitter, may_try_elsewhere, sending).await;
-        self.record_upstream_outcome(chosen, began, &first);
-        if let Outcome::ConnectionBroken(_) = first {
+        let outcome = self.wait_for_first_answer(chosen, slot, splitter, may_try_elsewhere, sending).await;
+        self.record_upstream_outcome(chosen, began, &outcome);
+        if let Outcome::ConnectionBroken(_) = outcome {
             self.inspect(&chosen.upstream, None).wait().await;
         }
-        first
+        outcome
     }
 
     async fn wait_for_first_answer(
@@ -122,35 +124,32 @@
     ) -> Outcome<W, S> {
         let mut reading = pin!(async {
             let mut slot = slot;
-            let first = self.read_first_answer(&mut slot, splitter, sending).await;
-            (first, slot)
+            let outcome = self.read_first_answer(&mut slot, splitter, sending).await;
+            (outcome, slot)
         });
-        let first_answer_timeout = self.first_answer_timeout(chosen).min(self.remaining());
+        let timeout = self.first_answer_timeout(chosen).min(self.remaining());
         let clock = &self.node.clock;
-        let early = clock.timeout(first_answer_timeout, reading.as_mut()).await;
-        let (first, slot) = match early {
+        let result = clock.timeout(timeout, reading.as_mut()).await;
+        let (outcome, slot) = match result {
             Some(done) => done,
             None if may_try_elsewhere && self.kind().is_repeatable() && !self.remaining().is_zero() => {
                 self.node.places().err(&chosen.upstream);
-                return Outcome::NoValidAnswer(format!(
-                    "no answer within {} ms",
-                    first_answer_timeout.as_millis()
-                ));
+                return Outcome::NoValidAnswer(format!("no answer within {} ms", timeout.as_millis()));
             }
             None => {
                 let _overdue = OverdueGuard::new(&self.node, &chosen.upstream);
-                let rest = self.remaining() + Duration::from_millis(DEADLINE_SLACK_MS);
-                match clock.timeout(rest, reading.as_mut()).await {
+                let time_left = self.remaining() + Duration::from_millis(DEADLINE_SLACK_MS);
+                match clock.timeout(time_left, reading.as_mut()).await {
                     Some(done) => done,
                     None => return Outcome::TimedOut,
                 }
             }
         };
-        match first {
+        match outcome {
             ReadOutcome::Stream(head, body, lease, bytes) => {
                 Outcome::Stream(head, Box::new(OpenStream { body, lease, slot }), bytes)
             }
-            ReadOutcome::Other(first) => first,
+            ReadOutcome::Other(outcome) => outcome,
         }
     }
 
@@ -194,12 +193,12 @@
             }
             ResponseCheck::WrongUpstream => {
                 self.drain(lease, body).await;
-                ReadOutcome::Other(Outcome::NotRun("another upstream has the address".to_owned()))
+                ReadOutcome::Other(Outcome::NotRun("the address belongs to another upstream".to_owned()))
             }
             ResponseCheck::NotRun => {
                 self.drain(lease, body).await;
                 ReadOutcome::Other(Outcome::NotRun(format!(
-                    "it refused with status {}",
+                    "the upstream refused the request with status {}",
                     head.status.as_u16()
                 )))
             }
@@ -210,7 +209,7 @@
         }
     }
 
-    /// Takes in what an upstream says of itself, before its answer is passed on.
+    /// Applies what an upstream says about its own state, before its answer is passed on.
     fn apply_upstream_state(&self, slot: &UpstreamSlot<W, S>, head: &response::Parts, check: ResponseCheck) {
         let node = &self.node;
         let upstream = slot.upstream.as_str();
@@ -220,7 +219,8 @@
                 self.request.ask.id
             );
             node.metrics.upstreams_leaving.inc();
-            // The others may hold more of its connections, and lose their requests when it ends.
+            // Other gateways may have more connections to it, and would lose their requests when it
+            // terminates.
             let started = node.listings().get(upstream).and_then(|listing| listing.started);
             node.hints.tell_leaving(upstream, started);
         }
@@ -237,7 +237,8 @@
         }
         let is_success = check == ResponseCheck::Valid && head.status.is_success();
         match node.wire.limit_per_s(head) {
-            // A refusal may come from only a part of the upstream, so only a successful answer can end a limit.
+            // A refusal may come from only a part of the upstream, so only a successful answer can end a
+            // limit.
             Ok(None) if !is_success => {}
             Ok(per_s) => {
                 let request = &self.request.ask.id;
@@ -263,7 +264,7 @@
         log::warn!("upstream: event=unreadable upstream={upstream} request={request} {error}");
     }
 
-    /// Reads a short answer to its end, so that its connection can be kept.
+    /// Reads a short answer to its end, so that the connection can be reused.
     async fn drain(&self, lease: net::Lease, body: Incoming) {
         match net::collect(body, ANSWER_LIMIT).await {
             Ok(_) => lease.keep(),
@@ -290,7 +291,7 @@
                     false => Outcome::Complete(head, bytes),
                 }
             }
-            Err(reason) => Outcome::ConnectionBroken(format!("the answer broke off: {reason}")),
+            Err(reason) => Outcome::ConnectionBroken(format!("could not read the answer: {reason}")),
         }
     }
 
@@ -315,7 +316,7 @@
                 }
                 Some(Err(error)) => {
                     return ReadOutcome::Other(Outcome::ConnectionBroken(format!(
-                        "the stream broke off: {error}"
+                        "could not read the stream: {error}"
                     )));
                 }
                 None => {
@@ -345,11 +346,11 @@
         request
     }
 
-    /// Takes what a dispatch led to into the picture of its upstream.
-    fn record_upstream_outcome(&self, chosen: &Chosen, began: u64, first: &Outcome<W, S>) {
+    /// Updates what is known of the upstream with the outcome of an attempt.
+    fn record_upstream_outcome(&self, chosen: &Chosen, began: u64, outcome: &Outcome<W, S>) {
         let now = self.node.now();
         let mut places = self.node.places();
-        let ejected = match first {
+        let ejected = match outcome {
             Outcome::Complete(..) => {
                 let pace = (!self.kind().is_stream()).then_some((now - began) as f64);
                 places.succeed(&chosen.upstream, pace);
@@ -364,7 +365,8 @@
                 false
             }
             Outcome::NotSent(_) => false,
-            // It said itself how long it wants nothing: that takes the place of a guess.
+            // The upstream itself announced that it accepts no requests, so there is no need to eject it on a
+            // guess.
             Outcome::NotRun(_) if !places.admits(&chosen.upstream, now) => false,
             Outcome::NotRun(_)
             | Outcome::ConnectionBroken(_)
@@ -372,7 +374,7 @@
             | Outcome::TimedOut => places.fail(&chosen.upstream, now),
         };
         drop(places);
-        if let Outcome::Complete(..) | Outcome::ServerError(..) = first {
+        if let Outcome::Complete(..) | Outcome::ServerError(..) = outcome {
             self.record_survival();
         }
         if ejected {
@@ -390,13 +392,13 @@
     Other(Outcome<W, S>),
 }
 
-/// The path and query, as a request to an origin_form server names them.
+/// The path and query of a URI: the form in which a request to an origin server names its target.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned().unwrap_or(http::uri::PathAndQuery::from_static("/"));
     Uri::from(path)
 }
 
-/// Drops the headers that concern one connection only, those that `Connection` names included.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: whole, or relayed from an upstream as it comes.
+//! The body of an answer: complete, or relayed from an upstream as it arrives.
 
 use crate::ports::Wire;
 use crate::relay::Relay;
@@ -9,14 +9,14 @@
 use std::task::{Context, Poll};
 use store::rows::Rows;
 
-/// A body that is known whole.
+/// A complete body.
 pub(crate) type WholeBody = Option<Bytes>;
 
 /// The body of an answer to a caller.
 pub(crate) enum AnswerBody<W: Wire, S: Rows> {
-    /// Everything at once.
+    /// A complete body, sent at once.
     Whole(WholeBody),
-    /// A stream of events.
+    /// A stream of events from an upstream.
     Stream(Box<Relay<W, S>>),
 }
 
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -1,13 +1,13 @@
-//! Splitting an event stream, so that only whole events reach the caller.
+//! Splits an event stream, so that only complete events reach the caller.
 
 use hyper::body::Bytes;
 
-/// What ends an event.
+/// The end of an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// What begins the line with an event's number.
+/// The name of the field that holds an event's identifier.
 const ID_FIELD: &[u8] = b"id:";
 
-/// The events of one stream, as far as they came.
+/// Splits the bytes of one stream into events.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     partial: Vec<u8>,
@@ -16,11 +16,11 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in, and returns those that complete events.
+    /// Adds received bytes, and returns those that complete events.
     ///
-    /// After [`EventSplitter::discard_partial`] events that came before are left out.
+    /// Events that were already returned are left out, so that a resumed stream repeats none.
     pub(crate) fn push(&mut self, bytes: Bytes) -> Bytes {
-        // Most reads hold whole events, which are passed on without a copy.
+        // Most reads hold complete events, which are passed on without a copy.
         let whole = if self.partial.is_empty() { bytes } else { self.prepend_partial(&bytes) };
         let Some(end) = find_last_end(&whole) else {
             self.partial = whole.to_vec();
@@ -61,33 +61,33 @@
         true
     }
 
-    /// Forgets the beginning of an event whose end never came.
+    /// Discards the beginning of an event that was cut off.
     pub(crate) fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// The bytes after the last whole event.
+    /// Takes the bytes after the last complete event.
     pub(crate) fn take_partial(&mut self) -> Bytes {
         Bytes::from(std::mem::take(&mut self.partial))
     }
 
-    /// The number of the last whole event.
+    /// The identifier of the last complete event.
     pub(crate) fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whole events so far.
+    /// The number of complete events so far.
     pub(crate) fn count(&self) -> u64 {
         self.count
     }
 }
 
-/// The length of the first event, its end included.
+/// The length of the first event, including its end.
 fn find_first_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(EVENT_END.len()).position(|window| window == EVENT_END).map(|index| index + EVENT_END.len())
 }
 
-/// Where the last whole event ends.
+/// The position after the last complete event.
 fn find_last_end(bytes: &[u8]) -> Option<usize> {
     bytes
         .windows(EVENT_END.len())
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -1,4 +1,4 @@
-//! A request from its head to its answer: admission, dispatch, and what to do when a dispatch fails.
+//! Admits a request, dispatches it, and decides what to do when an attempt fails.
 
 use crate::attempt::Outcome;
 use crate::body::AnswerBody;
@@ -22,17 +22,17 @@
 use store::rows::Rows;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The share of a request's target that it may wait for tokens: a refusal after that counts as late.
+/// The share of a route's target latency for which a request may wait for budget tokens. A later refusal
+/// misses the target.
 const BUDGET_WAIT_SHARE: f64 = 0.22;
-/// Upstreams that certainly did not run a request are passed over at most this often.
+/// How many attempts that certainly did not run may each be followed by one at another upstream.
 const MAX_REFUSALS: u32 = 4;
 
-/// The longest body that is read before a manifest is known, in bytes.
+/// The largest request body that is read before a manifest is known, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 
 type Reply<W, S> = Response<AnswerBody<W, S>>;
 
-/// Answers one request.
 pub(crate) async fn answer<W: Wire, S: Rows>(
     node: Arc<Node<W, S>>,
     request: Request<Incoming>,
@@ -58,7 +58,8 @@
     refusal.response().map(AnswerBody::Whole)
 }
 
-/// Names the request in an answer of the router's own, and ends the connection if the router stops or is overrun.
+/// Adds the request's identifier to an answer, and closes the connection if the gateway is stopping or
+/// overloaded.
 fn finish_answer<W: Wire, S: Rows>(node: &Node<W, S>, id: &str, mut reply: Reply<W, S>) -> Reply<W, S> {
     node.wire.add_request_id(id, reply.headers_mut());
     if node.phase() != Phase::Serving || node.load.should_close_connection() {
@@ -67,10 +68,10 @@
     reply
 }
 
-/// An admitted request with the tokens that are reserved for it.
+/// An admitted request with the tokens reserved for it.
 type AdmittedJob<W, S> = (Arc<Job<W, S>>, Option<Reservation>);
 
-/// Decides whether a request is carried out, and at whose cost.
+/// Decides whether a request is admitted, and reserves tokens of the team that pays for it.
 async fn admit<W: Wire, S: Rows>(
     node: &Arc<Node<W, S>>,
     ask: Ask,
@@ -83,8 +84,8 @@
         log::warn!("request: id={} event=refused reason={} {detail}", ask.id, refusal.name());
         refusal
     };
-    let limit = node.manifest().map_or(BODY_LIMIT, |manifest| manifest.body_limit);
-    let body = match net::collect(body, limit).await {
+    let body_limit = node.manifest().map_or(BODY_LIMIT, |manifest| manifest.body_limit);
+    let body = match net::collect(body, body_limit).await {
         Ok(body) => body,
         Err(reason) if reason.contains("limit") => return Err(refused(Refusal::BodyTooLarge, &reason)),
         Err(reason) => return Err(refused(Refusal::BodyIncomplete, &reason)),
@@ -93,14 +94,15 @@
     if node.phase() == Phase::Draining {
         return Err(refused(Refusal::Stopping, ""));
     }
-    // The manifest is taken once: the request runs wholly under this version.
+    // The manifest is read once, so that the whole request is handled under one version.
     let Some(manifest) = node.manifest() else {
         return Err(refused(Refusal::NotConfigured, ""));
     };
     let version = format!("manifest={}", manifest.version);
     let (route, team) = match manifest.lookup(&ask.host, head.uri.path(), ask.key.as_deref()) {
         Lookup::Allowed(route, team) => (route, team),
-        // A denial is for good, so it takes the newest manifest: with 750 KB on a full link that takes seconds.
+        // Callers don't retry these denials, so they must be based on the newest manifest. Reading one of 750
+        // KB over a saturated link takes seconds.
         Lookup::NoRoute | Lookup::NoKey if node.is_changing() => {
             return Err(refused(Refusal::ManifestChanging, &version));
         }
@@ -112,12 +114,12 @@
     };
     let caller = team.as_ref().map(|team| team.name.as_str());
     let fingerprint = || quarantine::fingerprint(&ask.host, &head.uri, caller, &body);
-    let stopped = match quarantine::check(node, fingerprint) {
+    let blocked = match quarantine::check(node, fingerprint) {
         Check::Passed => None,
         Check::Undecided(fingerprint) => Some((Refusal::QuarantinePending, fingerprint)),
         Check::Denied(fingerprint) => Some((Refusal::Quarantined, fingerprint)),
     };
-    if let Some((refusal, fingerprint)) = stopped {
+    if let Some((refusal, fingerprint)) = blocked {
         let team = caller.unwrap_or("-");
         let detail = format!("team={team} route={} {version} fingerprint={fingerprint}", route.name);
         return Err(refused(refusal, &detail));
@@ -157,15 +159,15 @@
     delegate::reserve(node, purse, &team.name, level, prompt.max_tokens(stride), max_wait, lifetime).await
 }
 
-/// What to do after a dispatch.
+/// What to do after an attempt.
 enum Next<W: Wire, S: Rows> {
-    /// This is the answer.
+    /// Return this answer.
     Answer(Reply<W, S>),
-    /// Try another upstream; if there is none, this is the answer.
+    /// Try another upstream; if there is none, return this answer.
     TryElsewhere(Reply<W, S>),
 }
 
-/// Dispatches a request until it has an answer.
+/// Dispatches a request until it has a final answer.
 async fn run<W: Wire, S: Rows>(job: Arc<Job<W, S>>, reservation: Option<Reservation>) -> Reply<W, S> {
     let mut meter = Some(TokenMeter::new(&*job, reservation));
     let mut last = None;
@@ -175,9 +177,9 @@
         }
         let may_try_elsewhere = job.progress().ran + 1 < job.request.route.attempts;
         let mut splitter = EventSplitter::default();
-        let first = job.attempt(&chosen, &mut splitter, None, may_try_elsewhere).await;
-        job.record_attempt(&chosen.upstream, &first);
-        match decide_next(&job, first, splitter, &mut meter) {
+        let outcome = job.attempt(&chosen, &mut splitter, None, may_try_elsewhere).await;
+        job.record_attempt(&chosen.upstream, &outcome);
+        match decide_next(&job, outcome, splitter, &mut meter) {
             Next::Answer(reply) => return reply,
             Next::TryElsewhere(reply) => last = Some(reply),
         }
@@ -203,7 +205,7 @@
 
 fn decide_next<W: Wire, S: Rows>(
     job: &Arc<Job<W, S>>,
-    first: Outcome<W, S>,
+    outcome: Outcome<W, S>,
     splitter: EventSplitter,
     meter: &mut Option<TokenMeter>,
 ) -> Next<W, S> {
@@ -211,7 +213,7 @@
     let (ran, refusals) = (progress.ran, progress.sent - progress.ran);
     drop(progress);
     let may_run_again = job.kind().is_repeatable() && ran < job.request.route.attempts;
-    match first {
+    match outcome {
         Outcome::Stream(head, stream, bytes) => {
             let meter = meter.take().unwrap_or_else(|| TokenMeter::new(&**job, None));
             let relay = Relay::new(job.clone(), stream, splitter, bytes, meter);
@@ -268,7 +270,8 @@
 }
 
 impl<W: Wire, S: Rows> Job<W, S> {
-    /// Takes one repeat out of the service's window.
+    /// Takes one repeat out of the service's retry budget; `false` if none is left. The event is logged
+    /// either way.
     pub(crate) fn take_repeat(&self, reason: &str) -> bool {
         let service = &self.request.service;
         let chance = xxh3_64(self.request.ask.id.as_bytes()) as f64 / u64::MAX as f64;
@@ -292,8 +295,8 @@
         is_allowed
     }
 
-    /// The refusal of a request that no upstream ran, if all of them rest or have reached their limits. It says when the
-    /// first one accepts requests again.
+    /// The refusal of a request that no upstream ran, if all upstreams of its service are backing off or at
+    /// their request limits. It names the time until the first one accepts requests again.
     fn unavailable(&self) -> Option<Refusal> {
         if self.progress().ran > 0 {
             return None;
@@ -305,7 +308,8 @@
         )))
     }
 
-    /// Takes down that a dispatch reached nobody: it is neither a try nor a repeat.
+    /// Records that a dispatch was withdrawn before it was sent. It does not count as an attempt, so the next
+    /// dispatch is no repeat on its account.
     fn record_not_sent(&self, upstream: &str, reason: &str) {
         log::info!(
             "request: id={} event=dispatch-withdrawn upstream={upstream} reason=\"{reason}\"",
@@ -314,9 +318,9 @@
         self.progress().excluded.push(upstream.to_owned());
     }
 
-    /// Takes down what a dispatch led to.
-    pub(crate) fn record_attempt(&self, upstream: &str, first: &Outcome<W, S>) {
-        let (ran, reason) = match first {
+    /// Records the outcome of an attempt.
+    pub(crate) fn record_attempt(&self, upstream: &str, outcome: &Outcome<W, S>) {
+        let (ran, reason) = match outcome {
             Outcome::Complete(..) | Outcome::Stream(..) => (true, None),
             Outcome::ServerError(head, _) => (true, Some(format!("status {}", head.status.as_u16()))),
             Outcome::NotSent(reason) => {
@@ -327,7 +331,7 @@
             Outcome::ConnectionBroken(reason) | Outcome::NoValidAnswer(reason) => {
                 (true, Some(reason.clone()))
             }
-            Outcome::TimedOut => (true, Some("the time is over".to_owned())),
+            Outcome::TimedOut => (true, Some("the deadline passed".to_owned())),
         };
         let mut progress = self.progress();
         progress.sent += 1;
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! One request that was admitted, and the guards that undo what it took.
+//! An admitted request, and the guards that release what it holds.
 
 use crate::manifest::{Manifest, Route, RouteKind, Team};
 use crate::node::Node;
@@ -12,33 +12,32 @@
 use std::time::Duration;
 use store::rows::Rows;
 
-/// Ranks of routes within one priority of teams.
+/// The number of route priorities within one team priority.
 const ROUTE_PRIORITIES: u32 = 3;
-/// The least urgent priority at an upstream.
+/// The least urgent priority that upstreams know.
 const LOWEST_PRIORITY: u32 = 9;
 
-/// A request that is being carried out.
+/// A request that is being handled.
 pub(crate) struct Job<W: Wire, S: Rows> {
     pub node: Arc<Node<W, S>>,
     pub request: Admitted,
-    /// When it must have its answer.
+    /// When the request must be answered.
     pub deadline: Millis,
     pub progress: Mutex<Progress>,
     _open: OpenGuard<W, S>,
 }
 
-/// What was tried so far.
+/// The attempts made so far.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
-    /// Dispatches.
+    /// The number of dispatches.
     pub sent: u32,
-    /// Dispatches that ran or may have run.
+    /// The number of dispatches that ran or may have run.
     pub ran: u32,
-    /// Upstreams that are not tried again.
+    /// Upstreams that must not be tried again.
     pub excluded: Vec<String>,
 }
 
-/// A request that was admitted.
 pub(crate) struct Admitted {
     pub ask: Ask,
     pub head: Parts,
@@ -47,22 +46,22 @@
     pub route: Arc<Route>,
     pub team: Option<Arc<Team>>,
     pub service: String,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Millis,
 }
 
 impl<W: Wire, S: Rows> Job<W, S> {
     pub(crate) fn new(node: Arc<Node<W, S>>, request: Admitted) -> Job<W, S> {
-        let wait = request.ask.wait_ms.unwrap_or(u64::MAX).min(request.route.timeout_ms);
-        let deadline = request.arrived.saturating_add(wait);
+        let timeout_ms = request.ask.wait_ms.unwrap_or(u64::MAX).min(request.route.timeout_ms);
+        let deadline = request.arrived.saturating_add(timeout_ms);
         Job { deadline, _open: OpenGuard::new(&node), node, request, progress: Mutex::default() }
     }
 
     pub(crate) fn progress(&self) -> MutexGuard<'_, Progress> {
-        self.progress.lock().expect("the progress' lock")
+        self.progress.lock().expect("the lock is not poisoned")
     }
 
-    /// The time that is left.
+    /// The time left until the deadline.
     pub(crate) fn remaining(&self) -> Duration {
         Duration::from_millis(self.deadline.saturating_sub(self.node.now()))
     }
@@ -71,19 +70,19 @@
         self.request.route.kind
     }
 
-    /// Tokens in one event of the answer.
+    /// The number of tokens in one event of the answer.
     pub(crate) fn stride(&self) -> u64 {
         self.request.manifest.services.get(&self.request.service).map_or(1, |service| service.stride)
     }
 
-    /// Chooses an upstream that was not tried before.
+    /// Chooses an upstream that has not been tried yet.
     pub(crate) fn choose(&self) -> Option<Chosen> {
         let progress = self.progress();
         let need = Need { service: &self.request.service, prompt: self.prompt(), avoid: &progress.excluded };
         self.node.places().choose(&need, self.node.now())
     }
 
-    /// The prompt as the choice of an upstream sees it.
+    /// The properties of the prompt that the choice of an upstream depends on.
     fn prompt(&self) -> Option<place::Prompt<'_>> {
         let route = &self.request.route;
         self.request.ask.prompt.as_ref().map(|prompt| place::Prompt {
@@ -95,7 +94,7 @@
         })
     }
 
-    /// What is added to the request at this moment.
+    /// The details that are added to the request when it is dispatched now.
     pub(crate) fn dispatch_details<'a>(
         &'a self,
         upstream: &'a str,
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Writes the request's last line.
+    /// Logs the outcome of the request and updates its metrics.
     pub(crate) fn log_end(&self, outcome: &str, detail: impl std::fmt::Display) {
         let ms = self.node.now().saturating_sub(self.request.arrived);
         let (sent, ran) = {
@@ -137,7 +136,7 @@
     }
 }
 
-/// Counts a request as open.
+/// Counts a request as open until it is dropped.
 struct OpenGuard<W: Wire, S: Rows>(Arc<Node<W, S>>);
 
 impl<W: Wire, S: Rows> OpenGuard<W, S> {
@@ -153,18 +152,18 @@
     }
 }
 
-/// A request's place at an upstream, until it is dropped.
+/// Registers a request as running at an upstream until it is dropped.
 pub(crate) struct UpstreamSlot<W: Wire, S: Rows> {
     node: Arc<Node<W, S>>,
     pub upstream: String,
-    /// When the request was dispatched.
     pub dispatched: Millis,
     ticket: Ticket,
     is_prompt_read: bool,
 }
 
 impl<W: Wire, S: Rows> UpstreamSlot<W, S> {
-    /// Returns `None` if the upstream accepts no more requests now, because others were dispatched since it was chosen.
+    /// Returns `None` if the upstream accepts no more requests now, because others were dispatched since it
+    /// was chosen.
     pub(crate) fn take(job: &Job<W, S>, chosen: &Chosen) -> Option<UpstreamSlot<W, S>> {
         let node = job.node.clone();
         let now = node.now();
@@ -183,7 +182,7 @@
         })
     }
 
-    /// Notes that the prompt was read: the first answer came.
+    /// Records that the upstream has read the prompt, as its first answer shows.
     pub(crate) fn mark_prompt_read(&mut self) {
         if !std::mem::replace(&mut self.is_prompt_read, true) {
             self.node.places().read(&self.upstream, self.ticket, self.node.now());
@@ -197,7 +196,8 @@
     }
 }
 
-/// Counts a request as overdue at its upstream until it is dropped: with an answer, or because the caller left.
+/// Counts a request as overdue at its upstream until it is dropped: it was answered, it timed out, or the
+/// caller disconnected.
 pub(crate) struct OverdueGuard<'a, W: Wire, S: Rows> {
     node: &'a Node<W, S>,
     upstream: &'a str,
@@ -216,7 +216,7 @@
     }
 }
 
-/// The tokens that a stream may use, charged by what was passed on.
+/// Counts the tokens of a request by the events passed on to the caller, and charges them when dropped.
 #[derive(Debug)]
 pub(crate) struct TokenMeter {
     reservation: Option<Reservation>,
@@ -242,13 +242,13 @@
         }
     }
 
-    /// Notes that an answer goes to the caller, with so many events in all.
+    /// Records that an answer is being passed on, with the total number of its events so far.
     pub(crate) fn record_events(&mut self, events: u64) {
         self.started = true;
         self.events = events;
     }
 
-    /// Tokens used so far.
+    /// The tokens used so far.
     pub(crate) fn tokens(&self) -> u64 {
         match self.started {
             true => self.input + self.output.min(self.events * self.stride),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -20,7 +20,8 @@
     pub per_s: Option<f64>,
 }
 
-/// Records the limit that an answer names, or that it names none, and tells the other gateways if they need to know.
+/// Records the limit that an answer names, or that it names none, and tells the other gateways if they need
+/// to know.
 pub(crate) fn observe<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, answer: &Answer<'_>) {
     let Answer { upstream, request, dispatched, per_s } = *answer;
     let update = node.places().update_limit(upstream, per_s, dispatched, node.now());
@@ -42,8 +43,8 @@
     }
 }
 
-/// Tells the other gateways of an upstream's limit after each of `pauses`, since datagrams can be lost. Each datagram carries
-/// the limit known when it is sent.
+/// Tells the other gateways of an upstream's limit after each of `pauses`, since datagrams can be lost. Each
+/// datagram carries the limit known when it is sent.
 fn tell<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, upstream: &str, pauses: &'static [Duration]) {
     let (node, upstream) = (node.clone(), upstream.to_owned());
     exec::spawn(async move {
@@ -57,7 +58,7 @@
     .detach();
 }
 
-/// Records what another gateway reports about an upstream's limit, if it refers to the life that is listed here.
+/// Records what another gateway reports about an upstream's limit, if the upstream has not restarted since.
 pub(crate) fn hear<W: Wire, S: Rows>(
     node: &Node<W, S>,
     upstream: &str,
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -1,4 +1,4 @@
-//! Observing how this VM bears its work.
+//! Measures the load of this VM.
 
 use crate::node::Node;
 use crate::ports::Wire;
@@ -9,12 +9,13 @@
 use std::time::Duration;
 use store::rows::Rows;
 
-/// Time between two samples: the balancer asks ten times less often.
+/// The time between two samples: a tenth of the balancer's interval between readiness checks.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// What a request or an answer takes on the link beside its body, in bytes: head and acknowledgements.
+/// The bytes that a request or an answer takes on the link in addition to its body: headers and
+/// acknowledgements.
 const OVERHEAD_BYTES: usize = 700;
 
-/// The bytes that passed the link, and how the gateway bears its work.
+/// Counts the bytes that passed the link, and tells whether the gateway is overloaded.
 #[derive(Debug)]
 pub(crate) struct Load {
     received: AtomicU64,
@@ -33,31 +34,32 @@
     }
 
     fn strain(&self) -> MutexGuard<'_, Strain> {
-        self.strain.lock().expect("the strain's lock")
+        self.strain.lock().expect("the lock is not poisoned")
     }
 
-    /// Takes in that a message with such a body came.
+    /// Records that a message with a body of this size arrived.
     pub(crate) fn record_received(&self, body: usize) {
         self.received.fetch_add((body + OVERHEAD_BYTES) as u64, Ordering::Relaxed);
     }
 
-    /// Takes in that a message with such a body was sent.
+    /// Records that a message with a body of this size was sent.
     pub(crate) fn record_sent(&self, body: usize) {
         self.sent.fetch_add((body + OVERHEAD_BYTES) as u64, Ordering::Relaxed);
     }
 
-    /// Takes in that a part of an answer was passed on.
+    /// Records that a part of an answer was relayed.
     pub(crate) fn record_relayed(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Whether this gateway takes no new callers.
+    /// Whether this gateway is overloaded and accepts no new callers.
     pub(crate) fn is_shedding(&self) -> bool {
         self.strain().is_back()
     }
 
-    /// Whether the connection of an answer is closed after it.
+    /// Whether to close the connection after an answer, so that the balancer sends its caller to another
+    /// gateway.
     pub(crate) fn should_close_connection(&self) -> bool {
         self.strain().closes(rand::random())
     }
@@ -67,7 +69,7 @@
     }
 }
 
-/// Samples the load.
+/// Samples the load periodically.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     loop {
         let due = node.now_exact() + SAMPLE_INTERVAL.as_secs_f64() * 1_000.0;
--- a/crates/gateway/src/manifest.rs
+++ b/crates/gateway/src/manifest.rs
@@ -1,13 +1,13 @@
-//! What the operator has put in force: routes, services and teams.
+//! The configuration set by the operator: routes, services and teams.
 
 use route::warmup::Warmup;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Manifest {
-    /// Its version; a router never goes back to an older one.
+    /// The version; a gateway never goes back to an older one.
     pub version: u64,
     /// The routes by host, those with the longest prefix first.
     pub routes: HashMap<String, Vec<Arc<Route>>>,
@@ -21,41 +21,41 @@
     pub body_limit: usize,
 }
 
-/// Where requests of one host and path prefix go.
+/// How the requests for one host and path prefix are handled.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// The paths that it takes begin so.
+    /// The prefix of the paths that the route matches.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether a request may be repeated.
     pub kind: RouteKind,
-    /// The longest that a request may be held, in milliseconds.
+    /// The longest time that a request may take, in milliseconds.
     pub timeout_ms: u64,
-    /// The time to a first answer that the operator aims at, in milliseconds.
+    /// The target time to the first answer, in milliseconds.
     pub target_ms: u64,
-    /// The longest pause between events that the operator aims at, in milliseconds.
+    /// The target for the longest gap between two events of a stream, in milliseconds.
     pub gap_ms: u64,
-    /// Its rank, 0 first.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// Services with their shares of the requests.
+    /// The services that share the requests, with their weights.
     pub split: Vec<(String, u32)>,
-    /// Upstreams that may run one request.
+    /// The most upstreams that may run one request.
     pub attempts: u32,
     /// Whether requests need no access key.
     pub anonymous: bool,
 }
 
-/// What may be done again with a request.
+/// Whether the requests of a route may be repeated, and whether their answers are streams.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// It may run once.
+    /// A request may run only once.
     Once,
-    /// It is answered by a stream and may run once.
+    /// A request is answered by a stream and may run only once.
     Stream,
-    /// It is answered by a stream that another upstream may continue.
+    /// A request is answered by a stream that another upstream may resume.
     ResumableStream,
 }
 
@@ -71,36 +71,37 @@
     }
 }
 
-/// A group of upstreams that do the same work.
+/// A group of interchangeable upstreams.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Connections that each of its upstreams takes from all routers together.
+    /// The most connections that each of its upstreams accepts from all gateways together.
     pub connections: usize,
-    /// Tokens in one event of a stream, if its upstreams are engines.
+    /// The number of tokens in one event of a stream, if its upstreams are inference engines.
     pub stride: u64,
-    /// What each of its upstreams bears while it warms up; `None` if the operator says nothing of it.
+    /// The load that each of its upstreams can handle while warming up; `None` if the operator has not
+    /// configured it.
     pub warmup: Option<Warmup>,
 }
 
 /// A team with its prepaid budget.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// The name of the team.
     pub name: String,
-    /// Its rank, 0 first; it goes before the route's.
+    /// The priority, 0 being the most urgent. It takes precedence over that of the route.
     pub priority: u32,
-    /// Tokens that it may use in all; `None` means that nothing bounds it.
+    /// The tokens that the team may use in total; `None` if its use is unlimited.
     pub reserved: Option<u64>,
 }
 
-/// What a manifest says of a request.
+/// The result of looking up a request in the manifest.
 #[derive(Clone, Debug)]
 pub enum Lookup {
-    /// It goes this way, at the cost of this team.
+    /// The request is allowed on this route, and this team pays for it.
     Allowed(Arc<Route>, Option<Arc<Team>>),
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// It lacks a known access key.
+    /// The request lacks a known access key.
     NoKey,
 }
 
@@ -120,7 +121,7 @@
 }
 
 impl Route {
-    /// The service of a request: by the shares, and always the same one for the same request.
+    /// Selects the service of a request by the weights, always the same one for the same request.
     pub fn select_service(&self, request: &str) -> Option<&str> {
         let total: u64 = self.split.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut point = xxhash_rust::xxh3::xxh3_64(request.as_bytes()) % total.max(1);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms.
+//! Metrics of a gateway: counters, gauges and histograms.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,52 +6,53 @@
     Registry, TextEncoder,
 };
 
-/// Upper bounds of the latency histograms, in seconds: around the targets of interactive requests.
+/// The upper bounds of the latency histograms, in seconds, chosen around the target latencies of interactive
+/// requests.
 const SECONDS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 15.0];
 
-/// What a gateway counts.
+/// The metrics of a gateway.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests that ended, by route and outcome.
+    /// Finished requests, by route and outcome.
     pub requests: IntCounterVec,
-    /// Time to the first answer, by route.
+    /// The time to the first answer, by route.
     pub first_answer_time: HistogramVec,
-    /// Time to the end of the answer, by route.
+    /// The time to the end of the answer, by route.
     pub whole_answer_time: HistogramVec,
-    /// Dispatches beyond the first of a request, by service and reason.
+    /// Dispatches after the first one of a request, by service and reason.
     pub repeats: IntCounterVec,
     /// Calls to the store, by step, table and outcome.
     pub store_calls: IntCounterVec,
     /// Bytes of rows read from and written to the store, by step and table.
     pub store_bytes: IntCounterVec,
-    /// Time of a transaction of the store.
+    /// The time of a call to the store.
     pub store_time: Histogram,
     /// The version of the manifest in force.
     pub manifest_version: IntGauge,
-    /// Tokens by team and state.
+    /// Budget tokens, by team and state.
     pub budget_tokens: IntGaugeVec,
-    /// Open requests by upstream.
+    /// Open requests of this gateway, by upstream.
     pub upstream_open_requests: IntGaugeVec,
-    /// Upstreams listed.
+    /// The number of listed upstreams.
     pub upstreams: IntGauge,
-    /// Gateways in the fleet.
+    /// The number of gateways that are considered alive.
     pub fleet_gateways: IntGauge,
-    /// Data centres whose upstreams get nothing, by the operators' word.
+    /// The number of data centres that operators have evacuated, whose upstreams get no requests.
     pub data_centres_evacuated: IntGauge,
-    /// Entries in the list of upstreams that name none.
+    /// Entries in the list of upstreams that could not be decoded.
     pub entries_unfit: IntCounter,
-    /// Upstreams that said in an answer that they leave.
+    /// Upstreams that announced in an answer that they are leaving.
     pub upstreams_leaving: IntCounter,
-    /// Refusals of upstreams that asked for rest.
+    /// Refusals in which upstreams asked for a back-off.
     pub upstream_rests: IntCounter,
     /// Upstream answers with a valid request limit.
     pub limits_named: IntCounter,
-    /// Runs that broke off because their upstream ended.
+    /// Runs that broke because their upstream terminated.
     pub runs_lost: IntCounter,
-    /// Requests that are denied since they end upstreams.
+    /// The number of requests that are denied because they terminate upstreams.
     pub quarantined: IntGauge,
-    /// Datagrams of other gateways that changed nothing, by reason.
+    /// Datagrams of other gateways that were dropped, by reason.
     pub hints_dropped: IntCounterVec,
 }
 
@@ -60,34 +61,34 @@
         let registry = Registry::new();
         let seconds = |name: &str, help: &str| HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
         let counters = |name: &str, help: &str, labels: &[&str]| {
-            let family = IntCounterVec::new(Opts::new(name, help), labels).expect("a valid name");
-            registry.register(Box::new(family.clone())).expect("the name is new");
+            let family = IntCounterVec::new(Opts::new(name, help), labels).expect("the name is valid");
+            registry.register(Box::new(family.clone())).expect("the name is not registered yet");
             family
         };
         let gauges = |name: &str, help: &str, labels: &[&str]| {
-            let family = IntGaugeVec::new(Opts::new(name, help), labels).expect("a valid name");
-            registry.register(Box::new(family.clone())).expect("the name is new");
+            let family = IntGaugeVec::new(Opts::new(name, help), labels).expect("the name is valid");
+            registry.register(Box::new(family.clone())).expect("the name is not registered yet");
             family
         };
         let gauge = |name: &str, help: &str| {
-            let gauge = IntGauge::new(name, help).expect("a valid name");
-            registry.register(Box::new(gauge.clone())).expect("the name is new");
+            let gauge = IntGauge::new(name, help).expect("the name is valid");
+            registry.register(Box::new(gauge.clone())).expect("the name is not registered yet");
             gauge
         };
         let histograms = |name: &str, help: &str| {
-            let family = HistogramVec::new(seconds(name, help), &["route"]).expect("a valid name");
-            registry.register(Box::new(family.clone())).expect("the name is new");
+            let family = HistogramVec::new(seconds(name, help), &["route"]).expect("the name is valid");
+            registry.register(Box::new(family.clone())).expect("the name is not registered yet");
             family
         };
         let counter = |name: &str, help: &str| {
-            let counter = IntCounter::new(name, help).expect("a valid name");
-            registry.register(Box::new(counter.clone())).expect("the name is new");
+            let counter = IntCounter::new(name, help).expect("the name is valid");
+            registry.register(Box::new(counter.clone())).expect("the name is not registered yet");
             counter
         };
         let store_time =
             Histogram::with_opts(seconds("tallypaddle_store_seconds", "Time of a call to the store."))
-                .expect("a valid name");
-        registry.register(Box::new(store_time.clone())).expect("the name is new");
+                .expect("the name is valid");
+        registry.register(Box::new(store_time.clone())).expect("the name is not registered yet");
         Metrics {
             requests: counters(
                 "tallypaddle_requests_total",
@@ -168,17 +169,17 @@
         }
     }
 
-    /// The calls to the store so far, in one line.
+    /// The counts of calls to the store, formatted as one line.
     pub(crate) fn store_calls_line(&self) -> String {
         format_counters(&self.store_calls, &["step", "table", "outcome"])
     }
 
-    /// The bytes of rows that went to and came from the store so far, in one line.
+    /// The counts of bytes read from and written to the store, formatted as one line.
     pub(crate) fn store_bytes_line(&self) -> String {
         format_counters(&self.store_bytes, &["step", "table"])
     }
 
-    /// The text of all metrics.
+    /// Encodes all metrics in the text format of Prometheus.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut text = vec![];
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
@@ -188,7 +189,7 @@
     }
 }
 
-/// Counters in one line, each behind the values of these labels.
+/// Formats counters as one line, each preceded by the values of these labels.
 fn format_counters(counters: &IntCounterVec, labels: &[&str]) -> String {
     let count = |metric: &prometheus::proto::Metric| {
         let values: Vec<&str> = labels
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,7 +1,7 @@
-//! The port to the language that callers, upstreams and operators speak.
+//! The port to the wire protocol of callers, upstreams and operators.
 //!
-//! An adapter decodes their messages into the types here and encodes the router's; the router itself knows
-//! HTTP, but none of the names in it.
+//! An adapter decodes messages into the types defined here and encodes those of the gateway. The gateway
+//! itself knows HTTP, but no names of headers, tables or fields.
 
 use crate::manifest::Manifest;
 use http::{HeaderMap, request, response};
@@ -9,99 +9,99 @@
 use smallvec::SmallVec;
 use std::net::SocketAddr;
 
-/// Parts of a prompt, usually a few.
+/// The parts of a prompt, usually a few.
 pub type Parts = SmallVec<[Part; 4]>;
 
-/// A caller's request, decoded.
+/// A decoded request of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Ask {
     /// The identifier that the caller gave this attempt.
     pub id: String,
-    /// The host that it addresses.
+    /// The host that the request is addressed to.
     pub host: String,
     /// The access key.
     pub key: Option<String>,
-    /// How long the caller waits, in milliseconds.
+    /// How long the caller waits for the answer, in milliseconds.
     pub wait_ms: Option<u64>,
-    /// The prompt, if it is for an engine.
+    /// The prompt, if the request is for an inference engine.
     pub prompt: Option<Prompt>,
 }
 
-/// What a request makes an engine do.
+/// The work that a request gives to an inference engine.
 #[derive(Clone, Debug, Default)]
 pub struct Prompt {
-    /// Tokens in the prompt.
+    /// The number of tokens in the prompt.
     pub input: u64,
-    /// The most tokens that may come out.
+    /// The most tokens that the engine may generate.
     pub output: u64,
-    /// The caller's guess of how many come out.
+    /// The caller's estimate of the tokens that the engine will generate.
     pub guess: Option<u64>,
     /// The parts of the prompt, in order.
     pub parts: Parts,
 }
 
 impl Prompt {
-    /// The most tokens that may come out, rounded up to whole events of `stride` tokens each.
+    /// The most tokens that may be generated, rounded up to whole events of `stride` tokens each.
     pub fn max_output_in_events(&self, stride: u64) -> u64 {
         self.output.div_ceil(stride.max(1)) * stride.max(1)
     }
 
-    /// The tokens that should come out: the caller's guess, or else half of the most.
+    /// The expected number of generated tokens: the caller's estimate, or else half of the maximum.
     pub fn expected_output(&self) -> u64 {
         self.guess.unwrap_or(self.output / 2).min(self.output)
     }
 
-    /// What the request costs at its most.
+    /// The most tokens that the request may use, prompt included.
     pub fn max_tokens(&self, stride: u64) -> u64 {
         self.input + self.max_output_in_events(stride)
     }
 }
 
-/// What the router adds to a request that it passes on.
+/// What the gateway adds to a request that it dispatches.
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatch<'a> {
-    /// The one upstream that may run it.
+    /// The only upstream that may run the request.
     pub upstream: &'a str,
-    /// How long it may take, in milliseconds.
+    /// How long the upstream may take, in milliseconds.
     pub remaining_ms: u64,
     /// The team that pays.
     pub team: Option<&'a str>,
-    /// Its rank at the upstream, 0 first.
+    /// The priority at the upstream; 0 is the most urgent.
     pub priority: u32,
-    /// The last event that the caller has, if the stream is continued.
+    /// The last event that the caller received, if a stream is resumed.
     pub after_event: Option<u64>,
 }
 
-/// What an upstream's answer says beside its status and body.
+/// What the head of an upstream's answer says about the request that it answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ResponseCheck {
-    /// It answers the request.
+    /// It is an answer to the request.
     Valid,
-    /// The upstream says that it did not run the request.
+    /// The upstream did not run the request.
     NotRun,
-    /// Another upstream has the address now; it did not run the request.
+    /// The address now belongs to another upstream, which did not run the request.
     WrongUpstream,
-    /// It answers another request, or nothing that was asked.
+    /// It is not an answer to this request.
     Mismatched,
 }
 
-/// An upstream as the platform lists it.
+/// An upstream as listed by the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Listing {
     /// The service that it runs.
     pub service: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre that it runs in.
     pub data_centre: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work because it is about to leave.
+    /// Whether it accepts no new requests because it is about to leave.
     pub leaving: bool,
-    /// When it started, in milliseconds of its own clock, if it says so: one that starts again under its name knows nothing
-    /// of before.
+    /// When it started, in milliseconds of its own clock, if it says so. An upstream that restarts under the
+    /// same name has lost its state.
     pub started: Option<u64>,
-    /// How long it still warms up, in milliseconds: it bears little meanwhile.
+    /// How long it is still warming up, in milliseconds; until then it can handle little load.
     pub warmup_ms: u64,
 }
 
@@ -111,16 +111,17 @@
 pub struct Malformed {
     /// What was being decoded.
     pub step: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the message.
     pub reason: String,
 }
 
-/// The language of callers, upstreams and operators.
+/// The wire protocol of callers, upstreams and operators.
 pub trait Wire: Send + Sync + 'static {
     /// The table and the key of the manifest.
     fn manifest_row(&self) -> (&str, &str);
 
-    /// The data centre whose upstreams get nothing as long as a row of this key is in the manifest's table.
+    /// The evacuated data centre that a key in the manifest's table names. Its upstreams get no requests
+    /// while the row exists.
     fn evacuated_data_centre<'a>(&self, key: &'a str) -> Option<&'a str>;
 
     /// The table that lists the upstreams.
@@ -129,48 +130,50 @@
     /// Decodes a manifest.
     ///
     /// # Errors
-    /// Says which part is wrong.
+    /// Returns [`Malformed`] with the part that is wrong.
     fn decode_manifest(&self, bytes: &[u8]) -> Result<Manifest, Malformed>;
 
     /// Decodes an upstream's row.
     ///
     /// # Errors
-    /// Says which part is wrong.
+    /// Returns [`Malformed`] with the part that is wrong.
     fn decode_listing(&self, bytes: &[u8]) -> Result<Listing, Malformed>;
 
-    /// Decodes a request.
+    /// Decodes the head of a request.
     ///
     /// # Errors
-    /// Says which header is wrong.
+    /// Returns [`Malformed`] with the header that is wrong.
     fn decode_request(&self, head: &request::Parts) -> Result<Ask, Malformed>;
 
-    /// The headers with which a request is passed on.
+    /// The headers of a request that is dispatched, derived from those of the caller.
     fn dispatch_headers(&self, caller: &HeaderMap, dispatch: &Dispatch<'_>) -> HeaderMap;
 
-    /// Reads what the head of an upstream's answer says of the request `id`.
+    /// Checks what the head of an upstream's answer says about the request `id`.
     fn check_response(&self, head: &response::Parts, id: &str) -> ResponseCheck;
 
-    /// Whether the head of an upstream's answer says that the upstream leaves.
+    /// Whether the head of an upstream's answer says that the upstream is leaving.
     fn is_leaving(&self, head: &response::Parts) -> bool;
 
-    /// How long the upstream wants nothing from this gateway, in milliseconds, if the head of its answer refuses a request and says so.
+    /// How long the upstream asks this gateway to send nothing, in milliseconds, if the head of its answer
+    /// refuses a request and names a time.
     ///
     /// # Errors
-    /// Says what can't be read.
+    /// Returns [`Malformed`] if the head names no valid time.
     fn retry_after_ms(&self, head: &response::Parts) -> Result<Option<u64>, Malformed>;
 
-    /// How long the upstream still warms up, in milliseconds, if the head of its answer says so.
+    /// How long the upstream is still warming up, in milliseconds, if the head of its answer says so.
     ///
     /// # Errors
-    /// Says what can't be read.
+    /// Returns [`Malformed`] if the head names no valid time.
     fn warmup_ms(&self, head: &response::Parts) -> Result<Option<u64>, Malformed>;
 
-    /// The upstream's request limit, in requests per second across all gateways, if the head of its answer names one.
+    /// The upstream's request limit, in requests per second across all gateways, if the head of its answer
+    /// names one.
     ///
     /// # Errors
     /// Returns [`Malformed`] if the head names a limit but no valid value.
     fn limit_per_s(&self, head: &response::Parts) -> Result<Option<f64>, Malformed>;
 
-    /// Names the request in an answer of the router's own.
+    /// Adds the identifier of a request to the headers of its answer.
     fn add_request_id(&self, id: &str, headers: &mut HeaderMap);
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,7 +1,9 @@
-//! Requests that end their upstreams: found by runs that broke off, told to the other gateways, and kept in the store.
+//! Quarantine of requests that terminate the upstreams which run them. They are found by broken runs,
+//! reported to the other gateways, and kept in the store.
 //!
-//! What is told to whom is decided in [`route::word`]. What is denied is told to all, and written to a table that each gateway reads when it
-//! starts, when another one's heartbeat says that it knows more, and now and then while something is denied.
+//! [`route::word`] decides which gateways are told of what. Denials are sent to all gateways and written to a
+//! table. Each gateway reads the table when it starts, when another one's heartbeat names a newer version,
+//! and periodically while any request is denied.
 
 use crate::denials::{self, Denial};
 use crate::job::{Admitted, Job};
@@ -17,28 +19,31 @@
 use std::time::Duration;
 use store::rows::Rows;
 
-/// How long the address of an upstream is asked for a connection: some round trips within a region.
+/// How long a connection attempt to the upstream's address may take: a few round trips within a region.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause before it is asked: a process that ends closes its connections and its listener one after the other.
+/// The delay before the connection attempt: a terminating process closes its connections and its listener one
+/// after the other.
 const PROBE_DELAY: Duration = Duration::from_millis(100);
-/// The pause after a call to the store failed.
+/// The delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How often the table is read while some are denied, and in a large fleet the time for each gateway: a hundred reads a second of all of
-/// them together. So long a denial that was lifted is in force at most.
+/// The interval between reads of the table while any request is denied. In a large fleet it is
+/// `READ_INTERVAL_PER_GATEWAY_MS` for each gateway, so that all of them together make at most a hundred reads
+/// per second. A lifted denial remains in force for at most one interval.
 const READ_INTERVAL: Duration = Duration::from_secs(10);
 const READ_INTERVAL_PER_GATEWAY_MS: u64 = 10;
 
-/// A run that broke off.
+/// A run that broke before its answer was complete.
 #[derive(Clone, Debug)]
 struct LostRun {
     upstream: String,
     request: String,
     fingerprint: Fingerprint,
-    /// The time since its first answer, in milliseconds; `None` if there was none.
+    /// The time from its first answer to the break, in milliseconds; `None` if there was no answer.
     begun_ms: Option<Millis>,
 }
 
-/// The fingerprint of a request. A digest that is hard to invert, so that nobody can craft a request that looks like another caller's.
+/// Computes the fingerprint of a request. It is a cryptographic digest, so that nobody can craft a request
+/// whose fingerprint matches that of another caller.
 pub(crate) fn fingerprint(host: &str, uri: &http::Uri, team: Option<&str>, body: &[u8]) -> Fingerprint {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     let mut digest = Sha256::new();
@@ -59,14 +64,16 @@
 }
 
 impl<W: Wire, S: Rows> Job<W, S> {
-    /// Looks whether a run of this request broke off because its upstream ended: beside other work, which a request that may end the
-    /// next one too has to wait for.
+    /// Checks in the background whether a run of this request broke because its upstream terminated. A
+    /// request that is already suspect must wait for the result, since it may terminate the next upstream as
+    /// well.
     pub(crate) fn inspect(&self, upstream: &str, begun_ms: Option<Millis>) -> Inspection {
         let fingerprint = self.request.fingerprint();
         let is_suspect = self.node.quarantine().verdict(fingerprint, self.node.now()) != Verdict::Clear;
         let (upstream, request) = (upstream.to_owned(), self.request.ask.id.clone());
         let lost = LostRun { upstream, request, fingerprint, begun_ms };
-        // It goes on if the caller leaves, who may be the one that sends such requests.
+        // The inspection continues if the caller disconnects: that caller may be the one that sends such
+        // requests.
         let (done, waiting) = async_channel::bounded::<()>(1);
         let inspection = inspect(self.node.clone(), lost);
         exec::spawn(async move {
@@ -77,7 +84,7 @@
         if is_suspect { Inspection::Wait(waiting) } else { Inspection::Background }
     }
 
-    /// Takes in that an upstream outlived a run of this request.
+    /// Records that an upstream survived a run of this request.
     pub(crate) fn record_survival(&self) {
         if self.node.quarantine().is_empty() {
             return;
@@ -90,41 +97,42 @@
         }
     }
 
-    /// Whether this request may run again: runs of it, or of other attempts, may have ended one upstream too many.
+    /// Whether this request may run again: its runs, or those of the same request sent by others, may have
+    /// terminated too many upstreams.
     pub(crate) fn may_repeat(&self) -> bool {
         matches!(check(&self.node, || self.request.fingerprint()), Check::Passed)
     }
 }
 
-/// Whether more may be dispatched before a run that broke off was looked into.
+/// Whether a request may be dispatched again before its broken run has been inspected.
 pub(crate) enum Inspection {
-    /// It may.
+    /// It may be dispatched while the inspection runs in the background.
     Background,
-    /// Only once this is closed.
+    /// It may be dispatched once this channel is closed.
     Wait(async_channel::Receiver<()>),
 }
 
 impl Inspection {
-    /// Waits until more may be dispatched.
+    /// Waits until the request may be dispatched again.
     pub(crate) async fn wait(self) {
         if let Inspection::Wait(waiting) = self {
-            // Nothing is sent: it ends with an error once the inspection is done.
+            // Nothing is ever sent: `recv` fails once the inspection is done and drops its sender.
             let _ = waiting.recv().await;
         }
     }
 }
 
-/// What the quarantine says of a request.
+/// The result of checking a request against the quarantine.
 pub(crate) enum Check {
-    /// It may run.
+    /// The request may run.
     Passed,
-    /// It may not run before it is decided on.
+    /// The request may not run until it has been decided on.
     Undecided(Fingerprint),
-    /// It may not run.
+    /// The request may not run.
     Denied(Fingerprint),
 }
 
-/// Checks a request. Nothing is computed as long as no upstream ended under any.
+/// Checks a request. Its fingerprint is computed only if some request is suspect or denied.
 pub(crate) fn check<W: Wire, S: Rows>(
     node: &Arc<Node<W, S>>,
     fingerprint: impl FnOnce() -> Fingerprint,
@@ -146,7 +154,8 @@
     Check::Denied(fingerprint)
 }
 
-/// Asks the upstream's address for a connection: a process that has ended refuses, a broken connection alone says nothing.
+/// Tries to connect to the upstream's address: a terminated process refuses, while a broken connection alone
+/// proves nothing.
 async fn inspect<W: Wire, S: Rows>(node: Arc<Node<W, S>>, lost: LostRun) {
     let Some(address) = node.listings().get(&lost.upstream).map(|listing| listing.address) else { return };
     exec::sleep(PROBE_DELAY).await;
@@ -161,13 +170,13 @@
         return;
     }
     node.metrics.runs_lost.inc();
-    // One that leaves ends of its own accord.
+    // A leaving upstream terminates on its own.
     let Some(stage) = Stage::of(*begun_ms).filter(|_| !is_leaving) else { return };
     let reaction = node.quarantine().observe(*fingerprint, upstream, stage, node.now());
     react(&node, reaction);
 }
 
-/// Tells the others what they should know, and sees to it that a suspect is decided on in time.
+/// Tells the other gateways what they need to know, and schedules the decision on a suspect if it is due.
 fn react<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, reaction: Reaction) {
     if let Some(word) = reaction.tell {
         if let Word::Suspect { fingerprint, ends } = &word {
@@ -182,7 +191,7 @@
     }
 }
 
-/// Decides once word of the last end has come from all.
+/// Decides on suspects once the reports of the other gateways have had time to arrive.
 async fn decide<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     exec::sleep(Duration::from_millis(GATHER_MS)).await;
     let denied: Vec<Decision> = {
@@ -205,15 +214,15 @@
     }
 }
 
-/// A request that this gateway denies from now on.
+/// A request that this gateway has decided to deny.
 struct Decision {
     fingerprint: Fingerprint,
     upstreams: Upstreams,
-    /// Whether this gateway saw one of the ends itself, and so tells the others.
+    /// Whether this gateway observed one of the terminations itself, and therefore tells the others.
     is_own: bool,
 }
 
-/// Tells all gateways that a denied request came again, unless operators lifted the denial.
+/// Tells all gateways that a denied request was sent again, unless an operator has lifted the denial.
 async fn renew<W: Wire, S: Rows>(node: Arc<Node<W, S>>, fingerprint: Fingerprint, upstreams: Upstreams) {
     if let Err(error) = read(&node).await {
         log::warn!("quarantine: event=not-read {error}");
@@ -223,7 +232,7 @@
     }
 }
 
-/// Tells all gateways that a request is denied, and keeps it in the store.
+/// Tells all gateways that a request is denied, and writes the denial to the store.
 async fn announce<W: Wire, S: Rows>(node: Arc<Node<W, S>>, fingerprint: Fingerprint, upstreams: Upstreams) {
     let word = Word::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIED_MS };
     node.hints.warn(word, node.now());
@@ -239,7 +248,7 @@
     }
 }
 
-/// Takes in what another gateway says.
+/// Handles a message of another gateway.
 pub(crate) fn hear<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, word: &Word) {
     if let Word::Denied { fingerprint, upstreams, lasts_ms } = word {
         return deny(node, *fingerprint, upstreams, *lasts_ms, "gateway");
@@ -266,8 +275,8 @@
     node.metrics.quarantined.set(node.quarantine().denied() as i64);
 }
 
-/// Reads the denied requests when the gateway starts, whenever another one knows more, and as long as some are denied now and then:
-/// operators may lift them.
+/// Reads the denied requests when the gateway starts, when another gateway has read a newer version of the
+/// table, and periodically while any request is denied, since operators may lift denials.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     loop {
         let more = node.quarantine_grew.listen();
@@ -307,7 +316,8 @@
     }
 }
 
-/// Takes in which version of the table another gateway has read. It is asked for once: a row of that version may be gone by now.
+/// Records which version of the table another gateway has read, and has the table read if that is newer. Each
+/// version triggers a single read: the row of that version may have been deleted since.
 pub(crate) fn observe_version<W: Wire, S: Rows>(node: &Node<W, S>, version: u64) {
     if version > node.quarantine_version.fetch_max(version, Ordering::Relaxed) {
         node.quarantine_grew.notify(usize::MAX);
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the router's own.
+//! Answers that the gateway gives instead of an upstream.
 
 use crate::body::WholeBody;
 use http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -6,50 +6,51 @@
 use hyper::body::Bytes;
 use route::quarantine::GATHER_MS;
 
-/// Why the router answers a request itself.
+/// Why the gateway does not pass on an answer of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Refusal {
-    /// The request is not well-formed.
+    /// The request is malformed.
     Malformed,
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// It has no known access key.
+    /// The request has no known access key.
     NoAccessKey,
-    /// Its body is too long.
+    /// The request's body is too large.
     BodyTooLarge,
-    /// The caller broke its body off.
+    /// The caller did not send the whole body.
     BodyIncomplete,
-    /// Whether it ends upstreams is being decided on.
+    /// It is not decided yet whether the request is quarantined.
     QuarantinePending,
-    /// Upstreams ended while they ran it, so it is not run again.
+    /// Upstreams terminated while they ran the request, so it is not run again.
     Quarantined,
-    /// The budget can't hold it at its most.
+    /// The budget does not cover the most tokens that the request may use.
     BudgetExhausted,
-    /// Tokens are left, but none can be had now; when that may change, in milliseconds.
+    /// The budget has tokens left, but none are available now; the time until that may change, in
+    /// milliseconds.
     BudgetUnavailable(u64),
-    /// Other routers hold the tokens that are left; when that may change, in milliseconds.
+    /// Other gateways hold the tokens that are left; the time until that may change, in milliseconds.
     BudgetHeldElsewhere(u64),
-    /// No manifest is known yet.
+    /// No manifest has been read yet.
     NotConfigured,
-    /// The manifest in force does not allow it, but a newer one is on its way.
+    /// The manifest in force does not allow the request, but a newer one is being read.
     ManifestChanging,
-    /// This router is stopping.
+    /// This gateway is stopping.
     Stopping,
-    /// No upstream serves it now.
+    /// No upstream of the service is available.
     NoUpstream,
-    /// Every upstream that serves it asked for rest or has reached its request limit; the time until the first one
+    /// Every upstream of the service is backing off or at its request limit; the time until the first one
     /// accepts requests again, in milliseconds.
     UpstreamsUnavailable(u64),
-    /// Every upstream tried refused it or could not be reached.
+    /// Every upstream that was tried refused the request or could not be reached.
     NotRun,
-    /// It was sent, and its time ran out.
+    /// The request was dispatched, and its deadline passed.
     TimedOut,
-    /// It was sent, and no whole answer came.
+    /// The request was dispatched, and no complete answer arrived.
     Failed,
 }
 
 impl Refusal {
-    /// The name in logs and metrics.
+    /// The name in answers, logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Refusal::Malformed => "malformed",
@@ -75,7 +76,7 @@
 
     fn status(self) -> StatusCode {
         match self {
-            // A caller that sends the same again gets the same answer: no status says that it may try later.
+            // The same request gets the same answer again, so the status must not suggest a retry.
             Refusal::Malformed | Refusal::BodyIncomplete | Refusal::Quarantined => StatusCode::BAD_REQUEST,
             Refusal::NoRoute => StatusCode::NOT_FOUND,
             Refusal::NoAccessKey => StatusCode::UNAUTHORIZED,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// When coming back may help, in milliseconds: the time that each cause usually lasts.
+    /// The time after which a retry may succeed, in milliseconds: how long each cause usually lasts.
     fn retry_ms(self) -> Option<u64> {
         match self {
             Refusal::BudgetUnavailable(millis)
@@ -111,7 +112,7 @@
         }
     }
 
-    /// What the caller should know beside the name.
+    /// An explanation for the caller in addition to the name.
     fn detail(self) -> Option<&'static str> {
         match self {
             Refusal::Quarantined => {
@@ -121,7 +122,6 @@
         }
     }
 
-    /// The answer.
     pub(crate) fn response(self) -> Response<WholeBody> {
         let mut body = serde_json::json!({"error": self.name()});
         if let Some(detail) = self.detail() {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream of events on as it comes, and taking it up at another upstream if it breaks off.
+//! Relays a stream of events to the caller, and resumes it at another upstream if it breaks.
 
 use crate::attempt::{OpenStream, Outcome};
 use crate::event::EventSplitter;
@@ -19,14 +19,15 @@
 use std::time::Duration;
 use store::rows::Rows;
 
-/// How often a stream looks whether it stalls or its time is over.
+/// How often a stream is checked for a stall and for its deadline.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A resumable stream is taken up elsewhere after this multiple of its greatest intended pause in silence.
+/// A resumable stream is resumed elsewhere after silence of this multiple of the route's target gap between
+/// events.
 const STALL_FACTOR: u64 = 3;
-/// Upstreams that may continue one stream beside those that the route allows: those that broke off do not run it.
+/// Runs of one stream beyond those that the route allows: upstreams whose stream broke no longer run it.
 const EXTRA_RUNS: u32 = 1;
 
-/// A stream on its way to the caller.
+/// A stream that is being relayed to the caller.
 pub(crate) struct Relay<W: Wire, S: Rows> {
     job: Arc<Job<W, S>>,
     state: State<W, S>,
@@ -36,7 +37,7 @@
     check_timer: Timer,
     last_received: Millis,
     began: Millis,
-    /// When the run that it comes from now gave its first answer.
+    /// When the run that the stream now comes from sent its first answer.
     run_began: Millis,
     longest_gap: Millis,
     pauses: Pauses,
@@ -48,14 +49,14 @@
     Ended,
 }
 
-/// A stream taken up at another upstream, with the splitter that read its first events.
+/// A stream resumed at another upstream, with the splitter that read its first events.
 struct Resumed<W: Wire, S: Rows> {
     stream: Box<OpenStream<W, S>>,
     splitter: EventSplitter,
     events: Bytes,
 }
 
-/// What to do next.
+/// What to do after polling the stream.
 enum Step {
     Continue,
     Yield(Bytes),
@@ -68,7 +69,7 @@
         job: Arc<Job<W, S>>,
         stream: Box<OpenStream<W, S>>,
         splitter: EventSplitter,
-        first: Bytes,
+        first_events: Bytes,
         mut meter: TokenMeter,
     ) -> Relay<W, S> {
         let now = job.node.now();
@@ -85,7 +86,7 @@
             state: State::Streaming(stream),
             splitter,
             meter,
-            ready: Some(first),
+            ready: Some(first_events),
             check_timer: Timer::interval(CHECK_INTERVAL),
             last_received: now,
             began: now,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The next bytes for the caller.
+    /// Polls for the next bytes for the caller.
     pub(crate) fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         if let Some(bytes) = self.ready.take() {
             return Poll::Ready(Some(Ok(bytes)));
@@ -121,7 +122,7 @@
                 }
                 Step::Fail(reason) => {
                     self.state = State::Ended;
-                    self.end("broken", &reason);
+                    self.log_end("broken", &reason);
                     return Poll::Ready(Some(Err(io::Error::other(reason))));
                 }
             }
@@ -144,12 +145,12 @@
                 self.meter.record_events(self.splitter.count());
                 Step::Yield(events)
             }
-            Some(Err(error)) => self.start_resume(&format!("the stream broke off: {error}")),
+            Some(Err(error)) => self.start_resume(&format!("could not read the stream: {error}")),
             None => self.complete(),
         }
     }
 
-    /// Tells the picture of the upstream how fast the events come.
+    /// Updates the estimated event pace of the upstream with the time since the last event.
     fn observe(&mut self) {
         let State::Streaming(stream) = &self.state else { return };
         let upstream = &stream.slot.upstream;
@@ -161,34 +162,34 @@
     }
 
     fn complete(&mut self) -> Step {
-        let rest = self.splitter.take_partial();
+        let partial = self.splitter.take_partial();
         if let State::Streaming(stream) = std::mem::replace(&mut self.state, State::Ended) {
             self.job.node.places().succeed(&stream.slot.upstream, None);
             self.job.record_survival();
             stream.lease.keep();
         }
-        self.end("complete", "");
-        if rest.is_empty() { Step::Done } else { Step::Yield(rest) }
+        self.log_end("complete", "");
+        if partial.is_empty() { Step::Done } else { Step::Yield(partial) }
     }
 
-    /// Looks whether the time is over or the upstream fell silent.
+    /// Checks periodically whether the deadline has passed or the upstream has stalled.
     fn poll_check(&mut self, context: &mut Context<'_>) -> Poll<Step> {
         ready!(self.check_timer.poll_next_unpin(context));
         let now = self.job.node.now();
         if now >= self.job.deadline {
-            return Poll::Ready(Step::Fail("the time is over".to_owned()));
+            return Poll::Ready(Step::Fail("the deadline passed".to_owned()));
         }
         let stalled = now.saturating_sub(self.last_received) > STALL_FACTOR * self.job.request.route.gap_ms;
         if stalled
             && matches!(self.state, State::Streaming(_))
             && self.job.kind() == RouteKind::ResumableStream
         {
-            return Poll::Ready(self.start_resume("the upstream fell silent"));
+            return Poll::Ready(self.start_resume("the upstream stalled"));
         }
         Poll::Ready(Step::Continue)
     }
 
-    /// Takes the stream up elsewhere, if the route allows it.
+    /// Resumes the stream at another upstream if the route allows it, and fails otherwise.
     fn start_resume(&mut self, reason: &str) -> Step {
         let State::Streaming(stream) = std::mem::replace(&mut self.state, State::Ended) else {
             return Step::Fail(reason.to_owned());
@@ -196,7 +197,7 @@
         let upstream = stream.slot.upstream.clone();
         let inspection =
             self.job.inspect(&upstream, Some(self.job.node.now().saturating_sub(self.run_began)));
-        // The run there must have ended before another one begins.
+        // The broken run must end before another one begins.
         drop(stream);
         let now = self.job.node.now();
         self.job.node.places().fail(&upstream, now);
@@ -214,16 +215,16 @@
         let mut splitter = std::mem::take(&mut self.splitter);
         splitter.discard_partial();
         exec::spawn(async move {
-            let closed = sender.clone();
+            let caller_side = sender.clone();
             let resuming = async {
                 inspection.wait().await;
                 job.resume(splitter).await
             };
-            let gone = async {
-                closed.closed().await;
+            let caller_gone = async {
+                caller_side.closed().await;
                 None
             };
-            if let Some(resumed) = smol::future::or(resuming, gone).await {
+            if let Some(resumed) = smol::future::or(resuming, caller_gone).await {
                 let _ = sender.send(resumed).await;
             }
         })
@@ -234,7 +235,7 @@
 
     fn finish_resume(&mut self, resumed: Option<Resumed<W, S>>) -> Step {
         let Some(resumed) = resumed else {
-            return Step::Fail("no upstream could continue the stream".to_owned());
+            return Step::Fail("no upstream could resume the stream".to_owned());
         };
         self.last_received = self.job.node.now();
         self.run_began = self.last_received;
@@ -245,7 +246,7 @@
         Step::Yield(resumed.events)
     }
 
-    fn end(&self, outcome: &str, detail: &str) {
+    fn log_end(&self, outcome: &str, detail: &str) {
         let tokens = self.meter.tokens();
         let first_ms = self.began.saturating_sub(self.job.request.arrived);
         let (events, gap_ms) = (self.splitter.count(), self.longest_gap);
@@ -259,13 +260,13 @@
 impl<W: Wire, S: Rows> Drop for Relay<W, S> {
     fn drop(&mut self) {
         if !matches!(self.state, State::Ended) {
-            self.end("caller-gone", "");
+            self.log_end("caller-gone", "");
         }
     }
 }
 
 impl<W: Wire, S: Rows> Job<W, S> {
-    /// Continues a broken stream at another upstream.
+    /// Resumes a broken stream at another upstream; `None` if none could continue it.
     async fn resume(&self, mut splitter: EventSplitter) -> Option<Resumed<W, S>> {
         loop {
             if self.remaining().is_zero() || self.progress().ran >= self.request.route.attempts + EXTRA_RUNS {
@@ -276,9 +277,9 @@
                 return None;
             }
             let after = splitter.last_id();
-            let first = self.attempt(&chosen, &mut splitter, after, true).await;
-            self.record_attempt(&chosen.upstream, &first);
-            match first {
+            let outcome = self.attempt(&chosen, &mut splitter, after, true).await;
+            self.record_attempt(&chosen.upstream, &outcome);
+            match outcome {
                 Outcome::Stream(_, stream, events) => return Some(Resumed { stream, splitter, events }),
                 Outcome::TimedOut => return None,
                 _ => splitter.discard_partial(),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The gateway's settings, read from YAML and checked as a whole.
+//! The settings of a gateway, read from YAML and validated as a whole.
 //!
 //! ```
 //! let mistakes = gateway::Settings::read("name: vm-1\n").unwrap_err();
@@ -10,41 +10,43 @@
 use std::time::Duration;
 use yaml::{Mistake, Reader};
 
-/// The keys of the settings.
+/// The keys that the settings may contain, as listed in error messages.
 const KNOWN_KEYS: &str =
     "name, data-centre, listen, store, store-writes-per-s, threads, cpu-share, link-mbps, record-ms, bounds";
-/// How long charges may wait for a settlement: notes tell of them, so it only keeps the record.
+/// The default time that charges may wait for settlement, in milliseconds. Notes already protect the charges,
+/// so that settlement only keeps the record up to date.
 const DEFAULT_RECORD_MS: u64 = 8_000;
-/// Writes that the store takes in a second where the settings don't say: today's smallest deployments have so many.
+/// The default for the writes per second that the store accepts: the number that the smallest deployments
+/// have.
 const DEFAULT_STORE_WRITES_PER_S: u64 = 600;
 
-/// Everything a gateway learns from its settings.
+/// The settings of a gateway.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
     /// The name of this VM, unique in the fleet.
     pub name: String,
-    /// Its data centre.
+    /// The data centre of this VM.
     pub data_centre: String,
-    /// Where it listens.
+    /// The addresses that the gateway listens on.
     pub listen: Listen,
     /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Writes that the store takes in a second, from all gateways together.
+    /// The writes per second that the store accepts from all gateways together.
     pub store_writes_per_s: u64,
-    /// Worker threads: one for each core.
+    /// The number of worker threads, one for each core.
     pub threads: usize,
-    /// The part of each core that this VM has.
+    /// The share of each core that this VM has.
     pub cpu_share: f64,
-    /// What this VM's link carries in each direction, in Mbit/s; `None` if that is not known.
+    /// The capacity of this VM's link in each direction, in Mbit/s; `None` if it is not known.
     pub link_mbps: Option<f64>,
     /// How long charges may wait until they are recorded in the store, in milliseconds.
     pub record_ms: u64,
-    /// What the operators agreed with the platform.
+    /// The bounds that the operators have agreed with the platform.
     pub bounds: Bounds,
 }
 
-/// Where a gateway listens.
+/// The addresses that a gateway listens on.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Listen {
@@ -52,21 +54,21 @@
     pub callers: SocketAddr,
     /// For the balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// For the other gateways' datagrams.
+    /// For the requests and datagrams of the other gateways.
     pub peers: SocketAddr,
-    /// For whoever collects metrics.
+    /// For metrics collectors.
     pub metrics: SocketAddr,
 }
 
-/// Bounds that the whole deployment keeps.
+/// Bounds for the whole deployment.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Bounds {
-    /// Time between the request to stop and the end of the process, in seconds.
+    /// The time between the request to stop and the end of the process, in seconds.
     pub grace_s: f64,
-    /// Repeated dispatches allowed for each request.
+    /// The repeated dispatches allowed for each request.
     pub retry_ratio: f64,
-    /// Repeated dispatches allowed beyond that, by all routers together, in one window.
+    /// The repeated dispatches allowed beyond that by all gateways together, in one window.
     pub retry_extra: f64,
     /// The length of that window, in seconds.
     pub retry_window_s: f64,
@@ -79,7 +81,7 @@
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Reads and validates settings.
     ///
     /// # Errors
     /// Returns every mistake with its line.
@@ -122,10 +124,10 @@
                 bounds,
             })
         })?;
-        Ok(read.expect("what is missing was named as a mistake"))
+        Ok(read.expect("a missing key was reported as a mistake"))
     }
 
-    /// Processor cores that this VM has.
+    /// The processor cores that this VM has, as a fraction if it shares them.
     pub(crate) fn cores(&self) -> f64 {
         self.cpu_share * self.threads as f64
     }
--- a/crates/gateway/src/store_health.rs
+++ b/crates/gateway/src/store_health.rs
@@ -1,40 +1,40 @@
-//! Whether this gateway reaches the store itself, as far as it knows, and which other gateways may help.
+//! Whether this gateway can reach the store directly, and which other gateways may make calls for it.
 
 use rand::Rng;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Calls in a row that the store refused before it counts as away: it also refuses when it is overrun, and then another
-/// gateway's call would be one more.
+/// The number of consecutive calls that the store may refuse before it counts as unreachable. An overloaded
+/// store refuses calls too, and a call through another gateway would only add to its load.
 pub(crate) const MAX_REFUSALS: u32 = 4;
-/// A call without an answer counts as lost after this multiple of the usual time, in a range that holds a store which is
-/// loaded and one that is slow, in milliseconds.
+/// A call counts as unanswered after this multiple of the average call time, clamped to this range in
+/// milliseconds. The range covers a store under load as well as a slow one.
 const TIMEOUT_FACTOR: f64 = 20.0;
 const TIMEOUT_RANGE_MS: (f64, f64) = (250.0, 1_200.0);
-/// The weight of a new sample in the usual time of a call.
+/// The weight of a new sample in the average call time.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// How long a gateway that could not help is not asked again.
 pub(crate) const HELPER_BACKOFF: Duration = Duration::from_millis(500);
-/// Gateways asked for one call at most.
+/// The most gateways that are asked to make one call.
 const MAX_HELPERS: usize = 2;
-/// After so many gateways in a row that could not help, none is asked for a while: all have lost the store then. A third of
-/// them away, that is taken for all once in 700 times.
+/// After this many consecutive gateways that could not help, none is asked for a while, since probably all of
+/// them have lost the store. If a third of them have, this conclusion is wrong once in 700 times.
 pub(crate) const MAX_FAILED_HELPERS: u32 = 6;
 const ALL_HELPERS_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// Whether the direct way works, as far as this gateway knows.
+/// Whether the store can be reached directly, as far as this gateway knows.
 #[derive(Debug)]
 pub(crate) struct StoreHealth {
     unreachable_since: Option<Instant>,
     refusals: u32,
-    /// The usual time of a call, in milliseconds.
+    /// The average time of a call, in milliseconds.
     average_ms: f64,
-    /// Other gateways, with the time until which each is left alone.
+    /// The other gateways, each with the time until which it is not asked.
     pub(crate) peers: Vec<(SocketAddr, Instant)>,
-    /// Gateways in a row that could not help.
+    /// The number of consecutive gateways that could not help.
     failed_helpers: u32,
-    /// No gateway is asked until then.
+    /// Until then no gateway is asked.
     pub(crate) paused_until: Option<Instant>,
 }
 
@@ -52,19 +52,19 @@
 }
 
 impl StoreHealth {
-    /// Whether calls go by way of other gateways, if there are any.
+    /// Whether calls are made through other gateways, if there are any.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.unreachable_since.is_some()
     }
 
-    /// How long a direct call is waited for.
+    /// How long a direct call may take.
     pub(crate) fn call_timeout(&self) -> Duration {
         Duration::from_millis(
             (TIMEOUT_FACTOR * self.average_ms).clamp(TIMEOUT_RANGE_MS.0, TIMEOUT_RANGE_MS.1) as u64,
         )
     }
 
-    /// Takes in a direct answer; how long the store was away if it was.
+    /// Records an answer to a direct call. Returns how long the store was unreachable, if it was.
     pub(crate) fn record_answer(&mut self, ms: Option<f64>) -> Option<Duration> {
         if let Some(ms) = ms {
             self.average_ms += SAMPLE_WEIGHT * (ms - self.average_ms);
@@ -73,14 +73,14 @@
         self.unreachable_since.take().map(|since| since.elapsed())
     }
 
-    /// Takes in that a direct call had no answer; `true` if the store is away from now on.
+    /// Records that a direct call got no answer; `true` if the store counts as unreachable from now on.
     pub(crate) fn record_no_answer(&mut self) -> bool {
-        // It may be slow: the next call waits longer.
+        // The store may be slow, so the next call gets more time.
         self.average_ms = (2.0 * self.average_ms).min(TIMEOUT_RANGE_MS.1 / TIMEOUT_FACTOR);
         self.mark_unreachable()
     }
 
-    /// Takes in that the store refused a direct call; `true` if it is away from now on.
+    /// Records that the store refused a direct call; `true` if it counts as unreachable from now on.
     pub(crate) fn record_refusal(&mut self) -> bool {
         self.refusals += 1;
         self.refusals >= MAX_REFUSALS && self.mark_unreachable()
@@ -92,8 +92,8 @@
         was_reachable
     }
 
-    /// Takes in where the other gateways listen. Each gateway asks them in an order of its own, so that those of a fleet
-    /// which lost the store together do not all ask the same one.
+    /// Sets the addresses of the other gateways. Each gateway asks them in a random order of its own, so that
+    /// gateways which lost the store together do not all ask the same one.
     pub(crate) fn set_peers(&mut self, peers: &[SocketAddr]) {
         let alive: HashSet<&SocketAddr> = peers.iter().collect();
         self.peers.retain(|(peer, _)| alive.contains(peer));
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The gateways to ask: not those that could not help a moment ago.
+    /// The gateways to ask for help, without those that could not help recently.
     pub(crate) fn helpers(&self) -> Vec<SocketAddr> {
         let now = Instant::now();
         if self.paused_until.is_some_and(|until| until > now) {
@@ -114,12 +114,12 @@
         rested.map(|(peer, _)| *peer).take(MAX_HELPERS).collect()
     }
 
-    /// Takes in that a gateway helped.
+    /// Records that a gateway helped.
     pub(crate) fn record_helped(&mut self) {
         self.failed_helpers = 0;
     }
 
-    /// Leaves a gateway alone for a while, and asks the others before it.
+    /// Records that a gateway could not help: it is not asked for a while, and moves to the end of the list.
     pub(crate) fn back_off(&mut self, peer: SocketAddr) {
         self.failed_helpers += 1;
         if self.failed_helpers >= MAX_FAILED_HELPERS {
