--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -101,8 +101,8 @@
     let version = format!("manifest={}", manifest.version);
     let (route, team) = match manifest.lookup(&ask.host, head.uri.path(), ask.key.as_deref()) {
         Lookup::Allowed(route, team) => (route, team),
-        // Callers don't retry these denials, so they must be based on the newest manifest. Reading one of 750
-        // KB over a saturated link takes seconds.
+        // These denials are final for the caller, so they must be based on the newest manifest. Reading a
+        // manifest of 750 KB over a saturated link takes seconds.
         Lookup::NoRoute | Lookup::NoKey if node.is_changing() => {
             return Err(refused(Refusal::ManifestChanging, &version));
         }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -58,7 +58,8 @@
     .detach();
 }
 
-/// Records what another gateway reports about an upstream's limit, if the upstream has not restarted since.
+/// Records what another gateway reports about an upstream's limit, if the report is about the same start of
+/// the upstream that is listed here.
 pub(crate) fn hear<W: Wire, S: Rows>(
     node: &Node<W, S>,
     upstream: &str,
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -77,7 +77,7 @@
 pub enum ResponseCheck {
     /// It is an answer to the request.
     Valid,
-    /// The upstream did not run the request.
+    /// The upstream says that it did not run the request.
     NotRun,
     /// The address now belongs to another upstream, which did not run the request.
     WrongUpstream,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Whether this request may run again: its runs, or those of the same request sent by others, may have
-    /// terminated too many upstreams.
+    /// Whether this request may run again: its runs, or those of other attempts with the same fingerprint, may
+    /// have terminated too many upstreams.
     pub(crate) fn may_repeat(&self) -> bool {
         matches!(check(&self.node, || self.request.fingerprint()), Check::Passed)
     }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -6,7 +6,7 @@
 use hyper::body::Bytes;
 use route::quarantine::GATHER_MS;
 
-/// Why the gateway does not pass on an answer of an upstream.
+/// Why the gateway answers a request itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Refusal {
     /// The request is malformed.
@@ -36,7 +36,7 @@
     ManifestChanging,
     /// This gateway is stopping.
     Stopping,
-    /// No upstream of the service is available.
+    /// No upstream can serve the request now.
     NoUpstream,
     /// Every upstream of the service is backing off or at its request limit; the time until the first one
     /// accepts requests again, in milliseconds.
--- a/crates/gateway/tests/unit/event.rs
+++ b/crates/gateway/tests/unit/event.rs
@@ -1,4 +1,4 @@
-//! Event streams in pieces, with repeats and torn ends.
+//! Event streams that arrive in pieces, are cut off within an event, or repeat events after a resume.
 
 use super::*;
 
@@ -7,20 +7,20 @@
 }
 
 #[test]
-fn only_whole_events_come_out() {
+fn only_complete_events_are_returned() {
     let mut splitter = EventSplitter::default();
     let parts = ["id: 1\ndata: a\n", "\nid: 2\nda", "ta: b\n\nid: 3\n", "data: c\n\n"];
     let out: Vec<String> = parts.iter().map(|part| push(&mut splitter, part)).collect();
     assert_eq!(
         out,
         ["", "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"],
-        "each event as soon as it is whole"
+        "each event is returned as soon as it is complete"
     );
     assert_eq!((splitter.count(), splitter.last_id()), (3, Some(3)));
 }
 
 #[test]
-fn a_continued_stream_leaves_out_what_came_before() {
+fn a_resumed_stream_leaves_out_events_already_returned() {
     let mut splitter = EventSplitter::default();
     push(&mut splitter, "id: 1\ndata: a\n\nid: 2\ndata: to");
     splitter.discard_partial();
