--- a/crates/gateway/src/closing.rs
+++ b/crates/gateway/src/closing.rs
@@ -1,6 +1,6 @@
 //! Closing the accounts of routers that are gone, and giving back what they can't have used.
 
-use crate::settle::backoff;
+use crate::settle::conflict_backoff;
 use crate::table::{ACCOUNT, BUDGETS, POOL, decode, encode};
 use budget::ledger::{self, Account, Line, Pool};
 use net::exec;
@@ -18,12 +18,12 @@
     fn exposed(&self, team: &str, account: &str, line: &Line) -> u64;
 
     /// How old the note was that says so, and the limit that it set by then; `None` without a note.
-    fn noted(&self, team: &str, account: &str) -> Option<Noted>;
+    fn note_summary(&self, team: &str, account: &str) -> Option<NoteSummary>;
 }
 
 /// What the last note of a dead gateway said, for the log.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Noted {
+pub(crate) struct NoteSummary {
     /// Its age at the death, in milliseconds.
     pub age_ms: u64,
     /// Tokens used when it was made.
@@ -44,7 +44,7 @@
     team: &str,
     is_gone: impl Fn(&str) -> bool,
     exposure: &impl Exposure,
-    rivals: u64,
+    writers: u64,
 ) -> Result<Option<u64>, Error> {
     let page = rows.list(BUDGETS, team).await?;
     let mut spent = None;
@@ -55,7 +55,7 @@
         let Some(account) = decode::<Account>(record) else { continue };
         spent = Some(spent.unwrap_or(0) + account.lines.get(team).map_or(0, |line| line.spent));
         if !account.closed {
-            close_account(rows, team, &record.name, page.records.clone(), exposure, rivals).await?;
+            close_account(rows, team, &record.name, page.records.clone(), exposure, writers).await?;
         }
     }
     Ok(spent)
@@ -67,7 +67,7 @@
     name: &str,
     mut records: Vec<Record>,
     exposure: &impl Exposure,
-    rivals: u64,
+    writers: u64,
 ) -> Result<(), Error> {
     for round in 0..ATTEMPTS {
         let find = |name: &str| records.iter().find(|record| record.name == name);
@@ -100,8 +100,8 @@
         };
         match rows.commit(&change).await? {
             Commit::Applied(version) => {
-                let noted = exposure.noted(team, name).map_or("noted=none".to_owned(), |noted| {
-                    let Noted { age_ms, used, charged, limit } = noted;
+                let noted = exposure.note_summary(team, name).map_or("noted=none".to_owned(), |noted| {
+                    let NoteSummary { age_ms, used, charged, limit } = noted;
                     format!("note-age-ms={age_ms} noted={used} charged={charged} limit={limit}")
                 });
                 log::info!(
@@ -111,7 +111,7 @@
             }
             Commit::Conflict(current) => records = current,
         }
-        exec::sleep(backoff(round, rivals)).await;
+        exec::sleep(conflict_backoff(round, writers)).await;
     }
     Err(Error {
         step: "close an account",
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -2,17 +2,17 @@
 
 use crate::attempt::First;
 use crate::body::Answer;
-use crate::delegate::{self, Denial};
+use crate::budget_state::DenialReason;
 use crate::event::Splitter;
-use crate::holding::Denied;
 use crate::job::{Admitted, Job, Meter};
 use crate::manifest::Lookup;
 use crate::node::{Node, Phase};
+use crate::peer_reservations::{self, Denial};
 use crate::ports::{Ask, Wire};
-use crate::purse::Reservation;
 use crate::quarantine::{self, Check};
 use crate::refusal::Refusal;
 use crate::relay::Relay;
+use crate::team_budget::Reservation;
 use budget::ledger::Level;
 use http::header::{CONNECTION, HeaderValue};
 use http::{Request, Response};
@@ -127,9 +127,9 @@
         Ok(reservation) => reservation,
         Err((denied, ready_ms, detail)) => {
             let refusal = match denied {
-                Denied::Spent => Refusal::BudgetSpent,
-                Denied::Away => Refusal::BudgetAway(ready_ms),
-                Denied::Elsewhere => Refusal::BudgetElsewhere(ready_ms),
+                DenialReason::Spent => Refusal::BudgetSpent,
+                DenialReason::Away => Refusal::BudgetAway(ready_ms),
+                DenialReason::Elsewhere => Refusal::BudgetElsewhere(ready_ms),
             };
             let team = team.as_ref().map_or("-", |team| team.name.as_str());
             return Err(refused(refusal, &format!("team={team} route={} {version} {detail}", route.name)));
@@ -154,7 +154,7 @@
     let lasts = Duration::from_millis(ask.wait_ms.unwrap_or(u64::MAX).min(route.timeout_ms));
     let stride = manifest.services.get(service).map_or(1, |service| service.stride);
     let purse = || node.purse(manifest, team);
-    delegate::reserve(node, purse, &team.name, level, prompt.worst(stride), patience, lasts).await
+    peer_reservations::reserve(node, purse, &team.name, level, prompt.worst(stride), patience, lasts).await
 }
 
 /// What to do after a dispatch.
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -3,7 +3,7 @@
 use crate::manifest::{Kind, Manifest, Route, Team};
 use crate::node::Node;
 use crate::ports::{Ask, Dispatch, Wire};
-use crate::purse::Reservation;
+use crate::team_budget::Reservation;
 use http::request::Parts;
 use hyper::body::Bytes;
 use route::Millis;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,21 +3,20 @@
 //!
 //! One request goes through these modules, each of which imports only those after it: `handle` admits it and
 //! decides what to do when a dispatch fails, `relay` passes a stream on, `attempt` is one dispatch, `quarantine` looks into one that broke off, `job` holds
-//! the request and what it took, `purse` its tokens, `node` the gateway's state. `settle`, `notes` and `closing`
+//! the request and what it took, `team_budget` its tokens, `node` the gateway's state. `settle`, `notes` and `closing`
 //! keep the budgets in the store, `watch` and `members` follow it, `snapshot` keeps the list of upstreams short for those that start. [`ports`] is the language of callers, upstreams and operators; an adapter speaks it.
 
 mod access;
 mod attempt;
 mod body;
+mod budget_state;
 mod closing;
 mod counted;
-mod delegate;
 pub mod denials;
 mod event;
 mod failover;
 mod handle;
 mod hints;
-mod holding;
 mod job;
 mod limits;
 pub mod manifest;
@@ -26,8 +25,8 @@
 mod node;
 mod notes;
 mod owners;
+mod peer_reservations;
 pub mod ports;
-mod purse;
 mod quarantine;
 mod refusal;
 mod relay;
@@ -36,6 +35,7 @@
 mod snapshot;
 mod strain;
 mod table;
+mod team_budget;
 mod watch;
 
 #[cfg(test)]
@@ -134,7 +134,9 @@
 /// Answers another gateway.
 async fn for_peer<W: Wire, S: Rows>(node: Arc<Node<W, S>>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
-        delegate::RESERVE | delegate::REPORT => delegate::answer(node, request).await,
+        peer_reservations::RESERVE_PATH | peer_reservations::REPORT_PATH => {
+            peer_reservations::answer(node, request).await
+        }
         _ => node.failover.clone().answer(request).await,
     }
 }
@@ -179,7 +181,7 @@
             log_models(&node);
         }
         for (team, purse) in node.purses().iter() {
-            let figures = purse.figures();
+            let figures = purse.token_counts();
             let states = [
                 ("available", figures.available),
                 ("in-use", figures.in_use),
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,16 +1,16 @@
 //! One gateway: what it knows, and what runs on it.
 
 use crate::counted::Counted;
-use crate::delegate::Delegate;
 use crate::failover::Failover;
 use crate::hints::Hints;
 use crate::manifest::{Manifest, Team};
 use crate::metrics::Metrics;
 use crate::owners::{Owners, Peer};
+use crate::peer_reservations::PeerReservations;
 use crate::ports::{Listing, Wire};
-use crate::purse::{self, Purse};
 use crate::settings::Settings;
 use crate::strain::Load;
+use crate::team_budget::{BudgetOptions, TeamBudget};
 use budget::ledger::Level;
 use event_listener::Event;
 use net::{Clock, Pool};
@@ -62,7 +62,7 @@
     pub load: Load,
     pub hints: Arc<Hints>,
     pub owners: Owners,
-    pub delegate: Arc<Delegate>,
+    pub delegate: Arc<PeerReservations>,
     /// Notified when a budget is opened.
     pub opened: Event,
     /// The newest version of the table of denied requests that was read; 0 if none is there.
@@ -77,7 +77,7 @@
     quarantine: Mutex<Quarantine>,
     listings: Mutex<HashMap<String, Listing>>,
     windows: Mutex<HashMap<String, Window>>,
-    purses: Mutex<HashMap<String, Arc<Purse>>>,
+    purses: Mutex<HashMap<String, Arc<TeamBudget>>>,
     phase: AtomicU8,
     note: async_channel::Sender<()>,
     /// What the store's clock said, in milliseconds, and when that was heard.
@@ -98,7 +98,7 @@
         let holder = format!("{}#{incarnation}", settings.name);
         Node {
             owners: Owners::new(&settings.name, settings.cores()),
-            delegate: Arc::new(Delegate::new(&holder)),
+            delegate: Arc::new(PeerReservations::new(&holder)),
             holder,
             places: Mutex::new(Places::new(&settings.data_centre)),
             wire,
@@ -207,25 +207,25 @@
         self.listings.lock().expect("the listings' lock")
     }
 
-    pub(crate) fn purses(&self) -> MutexGuard<'_, HashMap<String, Arc<Purse>>> {
+    pub(crate) fn purses(&self) -> MutexGuard<'_, HashMap<String, Arc<TeamBudget>>> {
         self.purses.lock().expect("the purses' lock")
     }
 
     /// The budget of a team, if something bounds it.
-    pub(crate) fn purse(&self, manifest: &Manifest, team: &Team) -> Option<Arc<Purse>> {
+    pub(crate) fn purse(&self, manifest: &Manifest, team: &Team) -> Option<Arc<TeamBudget>> {
         let level = Level { version: manifest.version, tokens: team.reserved? };
         let mut purses = self.purses();
         if let Some(purse) = purses.get(&team.name) {
             return Some(purse.clone());
         }
-        let terms = purse::Terms {
+        let terms = BudgetOptions {
             holder: self.holder.clone(),
-            fleet: self.fleet.clone(),
-            owners: self.owners.share(&team.name).unwrap_or(self.fleet_size()),
-            note: self.note.clone(),
+            fleet_size: self.fleet.clone(),
+            owners: self.owners.owner_count(&team.name).unwrap_or(self.fleet_size()),
+            note_requests: self.note.clone(),
             record_ms: self.settings.record_ms,
         };
-        let purse = Purse::open(&self.rows, &team.name, level, terms);
+        let purse = TeamBudget::open(&self.rows, &team.name, level, terms);
         purses.insert(team.name.clone(), purse.clone());
         self.opened.notify(usize::MAX);
         Some(purse)
@@ -238,7 +238,7 @@
         self.hints.set_peers(addresses);
         self.owners.set_peers(peers);
         for (team, purse) in self.purses().iter() {
-            let owners = self.owners.share(team).unwrap_or(self.fleet_size());
+            let owners = self.owners.owner_count(team).unwrap_or(self.fleet_size());
             purse.owners.store(owners, Ordering::Relaxed);
         }
     }
--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -3,13 +3,13 @@
 //! A note is a row of this VM alone, written under the condition that it is as last seen. When the VM starts
 //! again, the new process reads it and gives back what the old one can't have used.
 
-use crate::closing::{Exposure, Noted, close_accounts};
+use crate::closing::{Exposure, NoteSummary, close_accounts};
 use crate::manifest::{Manifest, Team};
 use crate::node::Node;
 use crate::ports::Wire;
-use crate::purse::Purse;
-use crate::settle::pause;
+use crate::settle::retry_delay;
 use crate::table::{NOTE, NOTES, decode, encode};
+use crate::team_budget::TeamBudget;
 use async_channel::Receiver;
 use budget::exposure::Schedule;
 use budget::ledger::Line;
@@ -23,19 +23,19 @@
 use store::{Error, Fault};
 
 /// Time between two notes in a small fleet: what is used meanwhile is lost with the process, and a note is one small write.
-const PERIOD_MS: u64 = 200;
+const MIN_INTERVAL_MS: u64 = 200;
 /// The part of the store's writes that the whole fleet's notes take at most. An old note costs tokens at a death, and room
 /// in an outage.
-const NOTES_PART: f64 = 0.125;
+const NOTE_WRITES_RATIO: f64 = 0.125;
 /// The pause between two teams whose accounts are closed although no note names them, for each gateway of the fleet, in
 /// milliseconds: all gateways together read 50 teams a second at most.
-const REST_SHARE_MS: u64 = 20;
+const CLOSE_DELAY_PER_GATEWAY_MS: u64 = 20;
 /// The pause after a call failed.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The weight of a shorter time in the time that a note takes; a longer one counts at once.
-const SHORTER: f64 = 0.3;
+const DECREASE_WEIGHT: f64 = 0.3;
 /// The pause before the first manifest is looked for again.
-const FIRST: Duration = Duration::from_millis(20);
+const MANIFEST_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a router noted.
 #[derive(Debug, Default, Deserialize, Serialize)]
@@ -46,16 +46,16 @@
     budgets: BTreeMap<String, BTreeMap<String, Schedule>>,
 }
 
-/// What the earlier life of this VM's process noted.
-struct Last {
+/// What the earlier generation of this VM's process noted.
+struct PreviousNote {
     note: Note,
     /// A moment after its death, in milliseconds of the store's clock.
-    dead_at: u64,
+    dead_by_ms: u64,
 }
 
-impl Last {
+impl PreviousNote {
     fn age_ms(&self) -> u64 {
-        self.dead_at.saturating_sub(self.note.at)
+        self.dead_by_ms.saturating_sub(self.note.at)
     }
 
     fn schedule(&self, team: &str, account: &str) -> Option<&Schedule> {
@@ -63,7 +63,7 @@
     }
 }
 
-impl Exposure for Last {
+impl Exposure for PreviousNote {
     fn exposed(&self, team: &str, account: &str, line: &Line) -> u64 {
         match self.schedule(team, account) {
             Some(schedule) => schedule.exposed(line, self.age_ms()),
@@ -72,16 +72,16 @@
         }
     }
 
-    fn noted(&self, team: &str, account: &str) -> Option<Noted> {
+    fn note_summary(&self, team: &str, account: &str) -> Option<NoteSummary> {
         let schedule = self.schedule(team, account)?;
         let age_ms = self.age_ms();
         let Schedule { used, charged, .. } = *schedule;
-        Some(Noted { age_ms, used, charged, limit: schedule.limit(age_ms) })
+        Some(NoteSummary { age_ms, used, charged, limit: schedule.limit(age_ms) })
     }
 }
 
-/// Closes what earlier lives of this VM's process left, then keeps this life's notes.
-pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>, kicked: Receiver<()>) {
+/// Closes what earlier lives of this VM's process left, then keeps this generation's notes.
+pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>, requests: Receiver<()>) {
     let manifest = first_manifest(&node).await;
     let mut recovery = Recovery::default();
     let mut failures = 0;
@@ -90,24 +90,24 @@
             Ok(version) => break Some(version),
             Err(error) => {
                 log::warn!("budget: event=not-recovered closed={} {error}", recovery.closed.len());
-                exec::sleep(pause(failures, node.owners.count())).await;
+                exec::sleep(retry_delay(failures, node.owners.total_owners())).await;
                 failures += 1;
             }
         }
     };
-    exec::spawn(close_rest(node.clone(), manifest, recovery)).detach();
-    let mut takes = Takes::default();
+    exec::spawn(close_remaining(node.clone(), manifest, recovery)).detach();
+    let mut latency = WriteLatency::default();
     loop {
-        let _ = exec::timeout(Duration::from_millis(period(&node)), kicked.recv()).await;
-        let purses: Vec<Arc<Purse>> = node.purses().values().cloned().collect();
+        let _ = exec::timeout(Duration::from_millis(interval_ms(&node)), requests.recv()).await;
+        let purses: Vec<Arc<TeamBudget>> = node.purses().values().cloned().collect();
         if purses.is_empty() {
             continue;
         }
-        match write(&node, &purses, &mut version, &mut takes).await {
+        match write(&node, &purses, &mut version, &mut latency).await {
             Ok(()) => {}
             Err(error) => {
                 log::warn!("budget: event=not-noted {error}");
-                exec::sleep(AGAIN).await;
+                exec::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -115,28 +115,28 @@
 
 /// Closes what is left to close, slowly: a fleet that starts again would otherwise read each team's accounts in each
 /// gateway at once.
-async fn close_rest<W: Wire, S: Rows>(
+async fn close_remaining<W: Wire, S: Rows>(
     node: Arc<Node<W, S>>,
     manifest: Arc<Manifest>,
     mut recovery: Recovery,
 ) {
     loop {
-        exec::sleep(Duration::from_millis(node.fleet_size() * REST_SHARE_MS)).await;
+        exec::sleep(Duration::from_millis(node.fleet_size() * CLOSE_DELAY_PER_GATEWAY_MS)).await;
         match recovery.close_next(&node, &manifest).await {
-            Ok(Next::Closed) => {}
-            Ok(Next::Done) => return,
+            Ok(Progress::Closed) => {}
+            Ok(Progress::Done) => return,
             Err(error) => {
                 log::warn!("budget: event=not-recovered closed={} {error}", recovery.closed.len());
-                exec::sleep(AGAIN).await;
+                exec::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Time between two notes, in milliseconds: only gateways that own a budget write them all the time.
-fn period<W: Wire, S: Rows>(node: &Node<W, S>) -> u64 {
-    let per_s = node.settings.store_writes_per_s as f64 * NOTES_PART;
-    PERIOD_MS.max((node.owners.count() as f64 * 1_000.0 / per_s) as u64)
+fn interval_ms<W: Wire, S: Rows>(node: &Node<W, S>) -> u64 {
+    let per_s = node.settings.store_writes_per_s as f64 * NOTE_WRITES_RATIO;
+    MIN_INTERVAL_MS.max((node.owners.total_owners() as f64 * 1_000.0 / per_s) as u64)
 }
 
 /// Closing the accounts of this VM's earlier processes, which are certainly dead, and opening the budgets that they used:
@@ -144,14 +144,14 @@
 #[derive(Default)]
 pub(crate) struct Recovery {
     /// The note, and its row's version.
-    last: Option<(Last, u64)>,
+    last: Option<(PreviousNote, u64)>,
     /// The teams whose accounts are closed: when a whole fleet starts again, the store refuses many calls, and what is
     /// done need not be done again.
     closed: HashSet<String>,
 }
 
 /// What is left of a recovery.
-pub(crate) enum Next {
+pub(crate) enum Progress {
     /// One more team's accounts are closed.
     Closed,
     /// All are.
@@ -172,7 +172,7 @@
         let (last, version) = self.last(node).await?;
         let noted: Vec<String> = last.note.budgets.keys().cloned().collect();
         let version = *version;
-        while let Next::Closed =
+        while let Progress::Closed =
             self.close_one(node, manifest, |team| noted.iter().any(|noted| noted == team)).await?
         {}
         Ok(version)
@@ -186,14 +186,14 @@
         &mut self,
         node: &Node<W, S>,
         manifest: &Manifest,
-    ) -> Result<Next, Error> {
+    ) -> Result<Progress, Error> {
         self.close_one(node, manifest, |_| true).await
     }
 
-    async fn last<W: Wire, S: Rows>(&mut self, node: &Node<W, S>) -> Result<&mut (Last, u64), Error> {
+    async fn last<W: Wire, S: Rows>(&mut self, node: &Node<W, S>) -> Result<&mut (PreviousNote, u64), Error> {
         match &mut self.last {
             Some(known) => Ok(known),
-            unread => Ok(unread.insert(read_last(node).await?)),
+            unread => Ok(unread.insert(read_previous(node).await?)),
         }
     }
 
@@ -202,46 +202,46 @@
         &mut self,
         node: &Node<W, S>,
         manifest: &Manifest,
-        is_meant: impl Fn(&str) -> bool,
-    ) -> Result<Next, Error> {
+        is_selected: impl Fn(&str) -> bool,
+    ) -> Result<Progress, Error> {
         let is_due = |team: &&Arc<Team>| {
-            team.reserved.is_some() && is_meant(&team.name) && !self.closed.contains(&team.name)
+            team.reserved.is_some() && is_selected(&team.name) && !self.closed.contains(&team.name)
         };
         let due: Vec<Arc<Team>> = manifest.teams.values().filter(is_due).cloned().collect();
         // The gateways of a fleet that starts again shall not all close the accounts of the same team first.
-        let Some(team) = due.choose(&mut rand::thread_rng()) else { return Ok(Next::Done) };
+        let Some(team) = due.choose(&mut rand::thread_rng()) else { return Ok(Progress::Done) };
         let own = format!("{}#", node.settings.name);
         let current = format!("{}.", node.holder);
         let is_earlier = |holder: &str| holder.starts_with(&own) && !holder.starts_with(&current);
-        let rivals = node.owners.count();
+        let writers = node.owners.total_owners();
         let (last, _) = self.last(node).await?;
-        let spent = close_accounts(&node.rows, &team.name, is_earlier, last, rivals).await?;
+        let spent = close_accounts(&node.rows, &team.name, is_earlier, last, writers).await?;
         self.closed.insert(team.name.clone());
-        let Some(spent) = spent else { return Ok(Next::Closed) };
-        if let Some(purse) = node.purse(manifest, team) {
-            purse.set_earlier_use(spent);
+        let Some(spent) = spent else { return Ok(Progress::Closed) };
+        if let Some(budget) = node.purse(manifest, team) {
+            budget.set_earlier_use(spent);
         }
-        Ok(Next::Closed)
+        Ok(Progress::Closed)
     }
 }
 
 /// Reads what the earlier process noted.
-async fn read_last<W: Wire, S: Rows>(node: &Node<W, S>) -> Result<(Last, u64), Error> {
+async fn read_previous<W: Wire, S: Rows>(node: &Node<W, S>) -> Result<(PreviousNote, u64), Error> {
     // The earlier process was dead when this one started, which was at least so long before the store answers.
     let uptime = node.now();
     let page = node.rows.list(NOTES, &node.settings.name).await?;
     let row = page.records.iter().find(|record| record.name == NOTE);
     let note = row.and_then(decode::<Note>).unwrap_or_default();
-    let last = Last { note, dead_at: page.now_ms.saturating_sub(uptime) };
+    let last = PreviousNote { note, dead_by_ms: page.now_ms.saturating_sub(uptime) };
     Ok((last, row.map_or(0, |row| row.version)))
 }
 
 /// Writes a note of all budgets.
 async fn write<W: Wire, S: Rows>(
     node: &Node<W, S>,
-    purses: &[Arc<Purse>],
+    purses: &[Arc<TeamBudget>],
     version: &mut Option<u64>,
-    takes: &mut Takes,
+    latency: &mut WriteLatency,
 ) -> Result<(), Error> {
     let known = match *version {
         Some(version) => version,
@@ -253,17 +253,20 @@
     *version = Some(known);
     let at = node.store_now();
     let began = node.now_exact();
-    let begun: Vec<(&Arc<Purse>, u64, Schedule)> = purses
+    let begun: Vec<(&Arc<TeamBudget>, u64, Schedule)> = purses
         .iter()
-        .map(|purse| {
-            let (life, schedule) = purse.begin_note(takes.ms as u64, owners(node, &purse.team));
-            (purse, life, schedule)
+        .map(|budget| {
+            let (generation, schedule) =
+                budget.begin_note(latency.ms as u64, budget_owners(node, &budget.team));
+            (budget, generation, schedule)
         })
         .collect();
-    let account = |purse: &Purse, life, schedule| BTreeMap::from([(purse.account_name(life), schedule)]);
+    let account = |budget: &TeamBudget, generation, schedule| {
+        BTreeMap::from([(budget.account_name(generation), schedule)])
+    };
     let budgets = begun
         .iter()
-        .map(|(purse, life, schedule)| (purse.team.clone(), account(purse, *life, *schedule)))
+        .map(|(budget, generation, schedule)| (budget.team.clone(), account(budget, *generation, *schedule)))
         .collect();
     let key = Key::new(NOTES, NOTE);
     let change = Change {
@@ -273,7 +276,7 @@
         drops: vec![],
     };
     let result = node.rows.commit(&change).await;
-    takes.learn(node.now_exact() - began);
+    latency.record(node.now_exact() - began);
     let took_effect = match &result {
         Ok(Commit::Applied(applied)) => {
             *version = Some(*applied);
@@ -289,16 +292,16 @@
             None
         }
     };
-    for (purse, life, _) in &begun {
-        purse.end_note(*life, took_effect);
+    for (budget, generation, _) in &begun {
+        budget.end_note(*generation, took_effect);
     }
     result.map(|_| ())
 }
 
 /// How many gateways own a budget, as its notes here take it: one that knows no other is alone, and those that draw without
 /// owning it share it with all.
-fn owners<W: Wire, S: Rows>(node: &Node<W, S>, team: &str) -> u64 {
-    match node.owners.share(team) {
+fn budget_owners<W: Wire, S: Rows>(node: &Node<W, S>, team: &str) -> u64 {
+    match node.owners.owner_count(team) {
         None => 1,
         Some(0) => node.fleet_size(),
         Some(owners) => owners,
@@ -307,13 +310,13 @@
 
 /// How long a note takes to be acknowledged, or to fail, in milliseconds.
 #[derive(Debug, Default)]
-struct Takes {
+struct WriteLatency {
     ms: f64,
 }
 
-impl Takes {
-    fn learn(&mut self, ms: f64) {
-        self.ms = if ms > self.ms { ms } else { self.ms + SHORTER * (ms - self.ms) };
+impl WriteLatency {
+    fn record(&mut self, ms: f64) {
+        self.ms = if ms > self.ms { ms } else { self.ms + DECREASE_WEIGHT * (ms - self.ms) };
     }
 }
 
@@ -322,7 +325,7 @@
         if let Some(manifest) = node.manifest() {
             return manifest;
         }
-        exec::sleep(FIRST).await;
+        exec::sleep(MANIFEST_POLL_INTERVAL).await;
     }
 }
 
--- a/crates/gateway/src/owners.rs
+++ b/crates/gateway/src/owners.rs
@@ -19,11 +19,11 @@
 const GATEWAYS_PER_OWNER: usize = 20;
 /// Only VMs with at least this part of the largest one's processor own budgets, if there are enough of them: an owner
 /// answers for its teams however busy its own callers keep it.
-const LARGE: f64 = 0.5;
+const LARGE_VM_RATIO: f64 = 0.5;
 /// How many gateways are ranked for a team at most: its owners, and those that stand in while owners do not answer.
-const RANKED: usize = 8;
+const MAX_RANKED: usize = 8;
 /// How long a gateway that did not answer is passed over: a restart takes about that.
-const REST: Duration = Duration::from_millis(1_000);
+const SKIP_DURATION: Duration = Duration::from_millis(1_000);
 
 /// Another gateway that is alive.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Owner {
     /// Here.
-    Own,
+    Local,
     /// At another gateway.
     Peer(SocketAddr),
 }
@@ -56,9 +56,9 @@
 struct State {
     peers: Vec<Peer>,
     /// Gateways that did not answer, until when they are passed over.
-    rests: HashMap<SocketAddr, Instant>,
+    skipped_until: HashMap<SocketAddr, Instant>,
     /// The part of all prepaid tokens that each team has.
-    shares: HashMap<String, f64>,
+    level_shares: HashMap<String, f64>,
     /// Rankings that were made since the fleet or the shares changed: one sorts the whole fleet, and each request needs one.
     rankings: HashMap<String, Ranking>,
 }
@@ -69,7 +69,7 @@
     /// How many of them own it.
     owners: usize,
     /// `None` is this gateway.
-    gateways: SmallVec<[Option<SocketAddr>; RANKED]>,
+    gateways: SmallVec<[Option<SocketAddr>; MAX_RANKED]>,
 }
 
 impl Owners {
@@ -91,38 +91,39 @@
         state.peers = alive.to_vec();
         state.rankings.clear();
         let now = Instant::now();
-        state.rests.retain(|_, until| *until > now);
+        state.skipped_until.retain(|_, until| *until > now);
     }
 
     /// Takes in the prepaid tokens of each team.
     pub(crate) fn set_levels<'a>(&self, levels: impl Iterator<Item = (&'a str, u64)> + Clone) {
         let all = levels.clone().map(|(_, tokens)| tokens as f64).sum::<f64>().max(1.0);
         let mut state = self.lock();
-        state.shares = levels.map(|(team, tokens)| (team.to_owned(), tokens as f64 / all)).collect();
+        state.level_shares = levels.map(|(team, tokens)| (team.to_owned(), tokens as f64 / all)).collect();
         state.rankings.clear();
     }
 
     /// Where to reserve tokens of `team` now.
-    pub(crate) fn of(&self, team: &str) -> Owner {
+    pub(crate) fn owner_of(&self, team: &str) -> Owner {
         let mut state = self.lock();
         let now = Instant::now();
         let Ranking { owners, gateways } = self.ranking(&mut state, team);
         // Each gateway prefers one of the owners, so that they share the requests.
         let first = xxh3_64(self.name.as_bytes()) as usize % owners;
         let preferred = gateways[..owners].iter().cycle().skip(first).take(owners).chain(&gateways[owners..]);
-        let is_awake = |address: &SocketAddr| state.rests.get(address).is_none_or(|until| *until <= now);
+        let is_usable =
+            |address: &SocketAddr| state.skipped_until.get(address).is_none_or(|until| *until <= now);
         for gateway in preferred {
             match gateway {
-                None => return Owner::Own,
-                Some(address) if is_awake(address) => return Owner::Peer(*address),
+                None => return Owner::Local,
+                Some(address) if is_usable(address) => return Owner::Peer(*address),
                 Some(_) => {}
             }
         }
-        Owner::Own
+        Owner::Local
     }
 
     /// How many gateways own `team`, if this one is among them; `None` if it knows no other.
-    pub(crate) fn share(&self, team: &str) -> Option<u64> {
+    pub(crate) fn owner_count(&self, team: &str) -> Option<u64> {
         let mut state = self.lock();
         if state.peers.is_empty() {
             return None;
@@ -132,10 +133,10 @@
     }
 
     /// How many gateways own a budget: each owner of each team counted, up to the size of the fleet.
-    pub(crate) fn count(&self) -> u64 {
+    pub(crate) fn total_owners(&self) -> u64 {
         let state = self.lock();
         let gateways = state.peers.len() + 1;
-        let owners: usize = state.shares.values().map(|share| owners_of(*share, gateways)).sum();
+        let owners: usize = state.level_shares.values().map(|share| owners_for_share(*share, gateways)).sum();
         owners.clamp(1, gateways) as u64
     }
 
@@ -158,9 +159,12 @@
             state.peers.iter().map(|peer| (key(&peer.name, peer.cores), Some(peer.address))).collect();
         ranked.push((key(&self.name, self.cores), None));
         ranked.sort_unstable_by_key(|(key, _)| *key);
-        let share = state.shares.get(team).copied().unwrap_or(0.0);
-        let owners = owners_of(share, ranked.len()).min(RANKED);
-        Ranking { owners, gateways: ranked.into_iter().map(|(_, gateway)| gateway).take(RANKED).collect() }
+        let share = state.level_shares.get(team).copied().unwrap_or(0.0);
+        let owners = owners_for_share(share, ranked.len()).min(MAX_RANKED);
+        Ranking {
+            owners,
+            gateways: ranked.into_iter().map(|(_, gateway)| gateway).take(MAX_RANKED).collect(),
+        }
     }
 
     /// The cores that a VM needs to own budgets: half of the largest one's, or less if too few have that.
@@ -169,17 +173,17 @@
         cores.push(self.cores);
         cores.sort_unstable_by(|left, right| right.total_cmp(left));
         let needed = cores.len().div_ceil(GATEWAYS_PER_OWNER);
-        (cores[0] * LARGE).min(cores[needed - 1])
+        (cores[0] * LARGE_VM_RATIO).min(cores[needed - 1])
     }
 
     /// Passes a gateway over for a while: it did not answer.
-    pub(crate) fn rest(&self, address: SocketAddr) {
-        self.lock().rests.insert(address, Instant::now() + REST);
+    pub(crate) fn skip(&self, address: SocketAddr) {
+        self.lock().skipped_until.insert(address, Instant::now() + SKIP_DURATION);
     }
 }
 
 /// How many gateways of so many own a team that has this part of all prepaid tokens.
-fn owners_of(share: f64, gateways: usize) -> usize {
+fn owners_for_share(share: f64, gateways: usize) -> usize {
     let needed = share * gateways as f64 / GATEWAYS_PER_OWNER as f64;
     (needed.round() as usize).clamp(1, gateways)
 }
--- a/crates/gateway/src/delegate.rs
+++ b/crates/gateway/src/peer_reservations.rs
@@ -4,11 +4,11 @@
 //! was used is reported once the request has ended; until then, and for good if no report comes, the worst case counts as
 //! used. So neither gateway's death nor a lost message can spend a token twice.
 
-use crate::holding::Denied;
+use crate::budget_state::DenialReason;
 use crate::node::{Node, Phase};
 use crate::owners::Owner;
 use crate::ports::Wire;
-use crate::purse::{Purse, Reservation};
+use crate::team_budget::{Reservation, TeamBudget};
 use budget::ledger::Level;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -22,30 +22,30 @@
 use store::rows::Rows;
 
 /// The paths at which gateways ask each other.
-pub(crate) const RESERVE: &str = "/reserve";
-pub(crate) const REPORT: &str = "/report";
+pub(crate) const RESERVE_PATH: &str = "/reserve";
+pub(crate) const REPORT_PATH: &str = "/report";
 
 /// How long an owner takes to answer beside what it may wait for the store: some ways between data centres, and a slow VM.
-const WAY: Duration = Duration::from_millis(60);
+const NETWORK_ALLOWANCE: Duration = Duration::from_millis(60);
 /// The part of the time that a request may wait for tokens which its owner may use: the rest is for the way, and for the
 /// store if the owner does not answer.
-const OWNERS_PART: f64 = 0.6;
+const OWNER_TIMEOUT_RATIO: f64 = 0.6;
 /// Unused connections to an owner that are kept, and how long. With few of them, here and to gateways that make calls for
 /// others, 295 gateways held 169 GB x s of memory over a day with a cut and a loss of all, in place of 288.
-const IDLE: (usize, Duration) = (2, Duration::from_secs(10));
+const IDLE_CONNECTIONS: (usize, Duration) = (2, Duration::from_secs(10));
 /// The largest message between gateways, in bytes.
 const MESSAGE_LIMIT: usize = 16 << 10;
 /// Attempts to report what a request used, the time for each, and the pause between two: a gateway that does not answer
 /// for so long may be gone, and charges the worst case.
-const REPORTS: u32 = 4;
-const REPORT_LIMIT: Duration = Duration::from_millis(500);
-const REPORT_AGAIN: Duration = Duration::from_millis(1_000);
+const REPORT_ATTEMPTS: u32 = 4;
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// How long after its request's time an owner waits for a report.
-const REPORT_WAIT: Duration = Duration::from_secs(10);
+const REPORT_GRACE: Duration = Duration::from_secs(10);
 
 /// A reservation that one gateway asks another for.
 #[derive(Debug, Deserialize, Serialize)]
-struct Ask {
+struct ReserveRequest {
     /// The asking gateway's process, and the number of its reservation.
     holder: String,
     number: u64,
@@ -62,10 +62,10 @@
 
 /// The owner's answer.
 #[derive(Debug, Deserialize, Serialize)]
-enum Answer {
+enum ReserveResponse {
     Held,
     Denied {
-        denied: Denied,
+        denied: DenialReason,
         ready_ms: u64,
         detail: String,
     },
@@ -75,7 +75,7 @@
 
 /// What a request used in the end.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Report {
+struct UsageReport {
     holder: String,
     number: u64,
     request: String,
@@ -83,67 +83,68 @@
 }
 
 /// What was reserved here for other gateways' requests, by process and number.
-type Pledges = HashMap<(String, u64), (Reservation, Instant)>;
+type HeldReservations = HashMap<(String, u64), (Reservation, Instant)>;
 
 /// Reservations at other gateways, and others' here.
 #[derive(Debug)]
-pub(crate) struct Delegate {
+pub(crate) struct PeerReservations {
     holder: String,
     client: Client,
-    numbers: AtomicU64,
-    pledges: Mutex<Pledges>,
+    next_number: AtomicU64,
+    held: Mutex<HeldReservations>,
 }
 
 /// Tokens reserved at another gateway, until what was used of them is reported.
 #[derive(Debug)]
-pub(crate) struct Pledge {
-    delegate: Arc<Delegate>,
+pub(crate) struct RemoteReservation {
+    delegate: Arc<PeerReservations>,
     owner: SocketAddr,
     number: u64,
     is_reported: bool,
 }
 
 /// Why tokens can't be had: the reason, when they may be, and what decided it.
-pub(crate) type Denial = (Denied, u64, String);
+pub(crate) type Denial = (DenialReason, u64, String);
 
 /// How asking another gateway ended.
-enum Asked {
-    Held(Pledge),
+enum ReserveOutcome {
+    Held(RemoteReservation),
     Denied(Denial),
     /// It did not answer, or does not own the budget any more.
-    Away,
+    Unavailable,
 }
 
-impl Delegate {
-    pub(crate) fn new(holder: &str) -> Delegate {
-        Delegate {
+impl PeerReservations {
+    pub(crate) fn new(holder: &str) -> PeerReservations {
+        PeerReservations {
             holder: holder.to_owned(),
-            client: Client::with_idle(IDLE.0, IDLE.1),
-            numbers: AtomicU64::new(1),
-            pledges: Mutex::default(),
+            client: Client::with_idle(IDLE_CONNECTIONS.0, IDLE_CONNECTIONS.1),
+            next_number: AtomicU64::new(1),
+            held: Mutex::default(),
         }
     }
 
-    async fn ask(self: &Arc<Self>, owner: SocketAddr, ask: &Ask) -> Asked {
-        let limit = Duration::from_millis(ask.patience_ms) + WAY;
+    async fn reserve_at(self: &Arc<Self>, owner: SocketAddr, ask: &ReserveRequest) -> ReserveOutcome {
+        let limit = Duration::from_millis(ask.patience_ms) + NETWORK_ALLOWANCE;
         // From now on it may be reserved there.
-        let pledge = Pledge { delegate: self.clone(), owner, number: ask.number, is_reported: false };
-        match self.send::<Answer>("reserve", owner, RESERVE, ask, limit).await {
-            Ok(Answer::Held) => Asked::Held(pledge),
-            Ok(Answer::Denied { denied, ready_ms, detail }) => {
-                pledge.forget();
-                Asked::Denied((denied, ready_ms, format!("{detail} owner={owner}")))
+        let pledge =
+            RemoteReservation { delegate: self.clone(), owner, number: ask.number, is_reported: false };
+        match self.send::<ReserveResponse>("reserve", owner, RESERVE_PATH, ask, limit).await {
+            Ok(ReserveResponse::Held) => ReserveOutcome::Held(pledge),
+            Ok(ReserveResponse::Denied { denied, ready_ms, detail }) => {
+                pledge.discard();
+                ReserveOutcome::Denied((denied, ready_ms, format!("{detail} owner={owner}")))
             }
-            Ok(Answer::Unfit) => {
-                pledge.forget();
-                Asked::Away
+            Ok(ReserveResponse::Unfit) => {
+                pledge.discard();
+                ReserveOutcome::Unavailable
             }
             Err(error) => {
                 log::warn!("budget: event=owner-away team={} owner={owner} error=\"{error}\"", ask.team);
                 if error.fault == net::Fault::Unsent {
-                    pledge.forget();
+                    pledge.discard();
                 }
-                Asked::Away
+                ReserveOutcome::Unavailable
             }
         }
     }
@@ -167,19 +168,19 @@
 
     /// Reports what a request used, in the background.
     fn report(self: &Arc<Self>, owner: SocketAddr, number: u64, request: &str, tokens: u64) {
-        let report = Report { holder: self.holder.clone(), number, request: request.to_owned(), tokens };
+        let report = UsageReport { holder: self.holder.clone(), number, request: request.to_owned(), tokens };
         let delegate = self.clone();
         exec::spawn(async move {
-            for round in 1..=REPORTS {
-                match delegate.send::<()>("report", owner, REPORT, &report, REPORT_LIMIT).await {
+            for round in 1..=REPORT_ATTEMPTS {
+                match delegate.send::<()>("report", owner, REPORT_PATH, &report, REPORT_TIMEOUT).await {
                     Ok(()) => return,
-                    Err(error) if round == REPORTS => {
+                    Err(error) if round == REPORT_ATTEMPTS => {
                         log::warn!(
                             "budget: event=not-reported request={} tokens={tokens} owner={owner} error=\"{error}\"",
                             report.request
                         );
                     }
-                    Err(_) => exec::sleep(REPORT_AGAIN).await,
+                    Err(_) => exec::sleep(REPORT_RETRY_DELAY).await,
                 }
             }
         })
@@ -187,9 +188,9 @@
     }
 
     /// Takes in another gateway's report.
-    fn take_report(&self, report: &Report) {
+    fn apply_report(&self, report: &UsageReport) {
         let key = (report.holder.clone(), report.number);
-        let pledge = self.pledges.lock().expect("the pledges' lock").remove(&key);
+        let pledge = self.held.lock().expect("no thread panics while it holds the lock").remove(&key);
         if let Some((reservation, _)) = pledge
             && report.tokens > 0
         {
@@ -200,9 +201,9 @@
     /// Charges the worst case of requests that nobody reported.
     pub(crate) fn expire(&self) {
         let now = Instant::now();
-        let mut pledges = self.pledges.lock().expect("the pledges' lock");
-        let late = pledges.extract_if(|_, (_, until)| *until <= now).collect::<Vec<_>>();
-        drop(pledges);
+        let mut held = self.held.lock().expect("no thread panics while it holds the lock");
+        let late = held.extract_if(|_, (_, until)| *until <= now).collect::<Vec<_>>();
+        drop(held);
         for ((holder, number), (reservation, _)) in late {
             log::warn!("budget: event=charged-at-the-worst holder={holder} number={number}");
             reservation.charge_all(&holder);
@@ -210,7 +211,7 @@
     }
 }
 
-impl Pledge {
+impl RemoteReservation {
     /// Reports what the request used.
     pub(crate) fn charge(mut self, request: &str, tokens: u64) {
         self.is_reported = true;
@@ -218,12 +219,12 @@
     }
 
     /// Ends a pledge that was certainly not made.
-    fn forget(mut self) {
+    fn discard(mut self) {
         self.is_reported = true;
     }
 }
 
-impl Drop for Pledge {
+impl Drop for RemoteReservation {
     fn drop(&mut self) {
         if !self.is_reported {
             self.delegate.report(self.owner, self.number, "-", 0);
@@ -234,7 +235,7 @@
 /// Reserves the worst case of a request: at the team's owner, or here if that is this gateway or does not answer.
 pub(crate) async fn reserve<W: Wire, S: Rows>(
     node: &Node<W, S>,
-    purse: impl FnOnce() -> Option<Arc<Purse>>,
+    budget: impl FnOnce() -> Option<Arc<TeamBudget>>,
     team: &str,
     level: Level,
     tokens: u64,
@@ -242,28 +243,28 @@
     lasts: Duration,
 ) -> Result<Option<Reservation>, Denial> {
     let began = Instant::now();
-    let owner = node.owners.of(team);
+    let owner = node.owners.owner_of(team);
     if let Owner::Peer(owner) = owner {
-        let ask = Ask {
+        let ask = ReserveRequest {
             holder: node.holder.clone(),
-            number: node.delegate.numbers.fetch_add(1, Ordering::Relaxed),
+            number: node.delegate.next_number.fetch_add(1, Ordering::Relaxed),
             team: team.to_owned(),
             level_version: level.version,
             level_tokens: level.tokens,
             tokens,
-            patience_ms: patience.mul_f64(OWNERS_PART).as_millis() as u64,
+            patience_ms: patience.mul_f64(OWNER_TIMEOUT_RATIO).as_millis() as u64,
             lasts_ms: lasts.as_millis() as u64,
         };
-        match node.delegate.ask(owner, &ask).await {
-            Asked::Held(pledge) => return Ok(Some(Reservation::Elsewhere(pledge))),
-            Asked::Denied(denial) => return Err(denial),
-            Asked::Away => node.owners.rest(owner),
+        match node.delegate.reserve_at(owner, &ask).await {
+            ReserveOutcome::Held(pledge) => return Ok(Some(Reservation::Remote(pledge))),
+            ReserveOutcome::Denied(denial) => return Err(denial),
+            ReserveOutcome::Unavailable => node.owners.skip(owner),
         }
     }
-    let Some(purse) = purse() else { return Ok(None) };
+    let Some(budget) = budget() else { return Ok(None) };
     let left = patience.saturating_sub(began.elapsed());
-    let reserved = purse.reserve(tokens, left).await;
-    reserved.map(Some).map_err(|denied| (denied, purse.ready_in(tokens), purse.explain(tokens)))
+    let reserved = budget.reserve(tokens, left).await;
+    reserved.map(Some).map_err(|denied| (denied, budget.retry_after_ms(tokens), budget.explain(tokens)))
 }
 
 /// Answers another gateway that asks for tokens or reports their use.
@@ -272,61 +273,67 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let path = request.uri().path().to_owned();
-    let Ok(bytes) = net::collect(request.into_body(), MESSAGE_LIMIT).await else { return refuse() };
+    let Ok(bytes) = net::collect(request.into_body(), MESSAGE_LIMIT).await else { return bad_request() };
     match path.as_str() {
-        RESERVE => match bincode::deserialize::<Ask>(&bytes) {
-            Ok(ask) => encode(&hold(&node, ask).await),
-            Err(_) => refuse(),
+        RESERVE_PATH => match bincode::deserialize::<ReserveRequest>(&bytes) {
+            Ok(ask) => encode_response(&reserve_for_peer(&node, ask).await),
+            Err(_) => bad_request(),
         },
-        _ => match bincode::deserialize::<Report>(&bytes) {
+        _ => match bincode::deserialize::<UsageReport>(&bytes) {
             Ok(report) => {
-                node.delegate.take_report(&report);
-                encode(&())
+                node.delegate.apply_report(&report);
+                encode_response(&())
             }
-            Err(_) => refuse(),
+            Err(_) => bad_request(),
         },
     }
 }
 
 /// Reserves tokens for another gateway's request.
-async fn hold<W: Wire, S: Rows>(node: &Node<W, S>, ask: Ask) -> Answer {
+async fn reserve_for_peer<W: Wire, S: Rows>(node: &Node<W, S>, ask: ReserveRequest) -> ReserveResponse {
     if node.phase() != Phase::Serving {
-        return Answer::Unfit;
+        return ReserveResponse::Unfit;
     }
-    let Some(manifest) = node.manifest() else { return Answer::Unfit };
+    let Some(manifest) = node.manifest() else { return ReserveResponse::Unfit };
     let team = manifest.teams.get(&ask.team).cloned();
-    let Some(purse) = team.and_then(|team| node.purse(&manifest, &team)) else { return Answer::Unfit };
-    purse.set_level(Level { version: ask.level_version, tokens: ask.level_tokens });
-    match purse.reserve(ask.tokens, Duration::from_millis(ask.patience_ms)).await {
+    let Some(budget) = team.and_then(|team| node.purse(&manifest, &team)) else {
+        return ReserveResponse::Unfit;
+    };
+    budget.set_level(Level { version: ask.level_version, tokens: ask.level_tokens });
+    match budget.reserve(ask.tokens, Duration::from_millis(ask.patience_ms)).await {
         Ok(reservation) => {
-            let until = Instant::now() + Duration::from_millis(ask.lasts_ms) + REPORT_WAIT;
+            let until = Instant::now() + Duration::from_millis(ask.lasts_ms) + REPORT_GRACE;
             let key = (ask.holder, ask.number);
-            node.delegate.pledges.lock().expect("the pledges' lock").insert(key, (reservation, until));
-            Answer::Held
+            node.delegate
+                .held
+                .lock()
+                .expect("no thread panics while it holds the lock")
+                .insert(key, (reservation, until));
+            ReserveResponse::Held
         }
         Err(denied) => {
-            let (ready_ms, detail) = (purse.ready_in(ask.tokens), purse.explain(ask.tokens));
-            Answer::Denied { denied, ready_ms, detail }
+            let (ready_ms, detail) = (budget.retry_after_ms(ask.tokens), budget.explain(ask.tokens));
+            ReserveResponse::Denied { denied, ready_ms, detail }
         }
     }
 }
 
-fn encode(answer: &impl Serialize) -> Response<Body> {
+fn encode_response(answer: &impl Serialize) -> Response<Body> {
     match bincode::serialize(answer) {
         Ok(bytes) => Response::new(Body::from(bytes)),
         Err(error) => {
             log::error!("budget: event=answer-not-encoded error=\"{error}\"");
-            refuse()
+            bad_request()
         }
     }
 }
 
-fn refuse() -> Response<Body> {
+fn bad_request() -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/delegate.rs"]
+#[path = "../tests/unit/peer_reservations.rs"]
 mod tests;
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -31,7 +31,7 @@
 }
 
 /// The content of a row, or that of a row which does not exist yet; `None` if it can't be read.
-pub(crate) fn decode_or_absent<T: Default + DeserializeOwned>(record: &Record) -> Option<T> {
+pub(crate) fn decode_or_default<T: Default + DeserializeOwned>(record: &Record) -> Option<T> {
     if record.value.is_none() { Some(T::default()) } else { decode(record) }
 }
 
--- a/crates/gateway/src/purse.rs
+++ b/crates/gateway/src/team_budget.rs
@@ -3,8 +3,8 @@
 //! Tokens are reserved within three bounds: those at hand, those that the account row exposes, and those that
 //! the router noted it may use before its next note (`notes`).
 
-use crate::delegate::Pledge;
-use crate::holding::{Denied, Holding};
+use crate::budget_state::{BudgetState, DenialReason};
+use crate::peer_reservations::RemoteReservation;
 use crate::settle;
 use budget::exposure::Schedule;
 use budget::ledger::{Charge, Level};
@@ -16,10 +16,10 @@
 use store::rows::Rows;
 
 /// How long the pool's emptiness is believed, in milliseconds: tokens come back as other routers settle.
-const EMPTY_MS: u64 = 250;
+const DENIAL_REUSE_MS: u64 = 250;
 
 /// How long other routers take to give idle tokens back once they are asked.
-const RECALL: Duration = Duration::from_millis(40);
+const RECALL_WAIT: Duration = Duration::from_millis(40);
 
 /// Fleets up to this size answer a call for tokens at once: their writes fit into the time that the caller waits.
 const SMALL_FLEET: u64 = 12;
@@ -27,37 +27,37 @@
 /// transaction.
 const RECALL_SPREAD_MS: u64 = 6;
 /// How often a waiting request looks whether the limit of the notes has grown enough.
-const LOOK: Duration = Duration::from_millis(40);
+const LIMIT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// When a refused request should come back while the store is away: outages last for some seconds.
-const READY_AWAY_MS: u64 = 3_000;
+const RETRY_STORE_DOWN_MS: u64 = 3_000;
 /// When it should come back if other routers hold the tokens: they give them back within a settlement or two, or the
 /// operator tops the budget up.
-const READY_ELSEWHERE_MS: u64 = 4_000;
+const RETRY_HELD_ELSEWHERE_MS: u64 = 4_000;
 /// The resolution with which the growth of a note's limit is told, in milliseconds.
-const READY_STEP_MS: u64 = 200;
+const RETRY_STEP_MS: u64 = 200;
 
 /// One team's budget as this router holds it.
 #[derive(Debug)]
-pub(crate) struct Purse {
+pub(crate) struct TeamBudget {
     pub team: String,
     pub holder: String,
-    holding: Mutex<Holding>,
+    state: Mutex<BudgetState>,
     pub changed: Event,
-    kick: async_channel::Sender<()>,
-    note: async_channel::Sender<()>,
-    pub closed: AtomicBool,
-    pub fleet: Arc<AtomicU64>,
+    settle_requests: async_channel::Sender<()>,
+    note_requests: async_channel::Sender<()>,
+    pub retired: AtomicBool,
+    pub fleet_size: Arc<AtomicU64>,
     /// How many gateways own this budget, this one among them; 0 if others own it.
     pub owners: AtomicU64,
 }
 
 /// Where the tokens of a budget are, as one gateway knows it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Figures {
+pub(crate) struct TokenCounts {
     /// Held here, and not reserved.
     pub available: u64,
-    /// Reserved here.
+    /// LocalReservation here.
     pub in_use: u64,
     /// Of the pool, in no gateway's hands.
     pub free: u64,
@@ -70,43 +70,48 @@
 }
 
 /// What a budget is opened with.
-pub(crate) struct Terms {
+pub(crate) struct BudgetOptions {
     /// The VM with the incarnation of this process.
     pub holder: String,
     /// How many gateways the fleet has.
-    pub fleet: Arc<AtomicU64>,
+    pub fleet_size: Arc<AtomicU64>,
     /// How many of them own the budget, this one among them.
     pub owners: u64,
     /// Where a new note is asked for.
-    pub note: async_channel::Sender<()>,
+    pub note_requests: async_channel::Sender<()>,
     /// How long charges may wait for a settlement, in milliseconds.
     pub record_ms: u64,
 }
 
-impl Purse {
+impl TeamBudget {
     /// Opens a budget without tokens, starts its settlement, and has it noted: without a note, the death of this
     /// process would cost all that it drew.
-    pub(crate) fn open<S: Rows>(rows: &S, team: &str, level: Level, terms: Terms) -> Arc<Purse> {
-        let (kick, kicked) = async_channel::bounded(1);
-        let purse = Arc::new(Purse {
+    pub(crate) fn open<S: Rows>(
+        rows: &S,
+        team: &str,
+        level: Level,
+        options: BudgetOptions,
+    ) -> Arc<TeamBudget> {
+        let (settle_requests, requested) = async_channel::bounded(1);
+        let budget = Arc::new(TeamBudget {
             team: team.to_owned(),
-            holder: terms.holder,
-            holding: Mutex::new(Holding::new(level, terms.record_ms)),
+            holder: options.holder,
+            state: Mutex::new(BudgetState::new(level, options.record_ms)),
             changed: Event::new(),
-            kick,
-            note: terms.note,
-            closed: AtomicBool::new(false),
-            fleet: terms.fleet,
-            owners: AtomicU64::new(terms.owners),
+            settle_requests,
+            note_requests: options.note_requests,
+            retired: AtomicBool::new(false),
+            fleet_size: options.fleet_size,
+            owners: AtomicU64::new(options.owners),
         });
-        let _ = purse.kick.try_send(());
-        let _ = purse.note.try_send(());
-        exec::spawn(settle::run(purse.clone(), rows.clone(), kicked)).detach();
-        purse
+        let _ = budget.settle_requests.try_send(());
+        let _ = budget.note_requests.try_send(());
+        exec::spawn(settle::run(budget.clone(), rows.clone(), requested)).detach();
+        budget
     }
 
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Holding> {
-        self.holding.lock().expect("no thread panics while it holds a purse")
+    pub(crate) fn lock(&self) -> MutexGuard<'_, BudgetState> {
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
     /// Milliseconds since the budget was opened, from 1: 0 means never.
@@ -121,7 +126,7 @@
             return;
         }
         let changed = level.tokens != state.level.tokens;
-        state.lowered |= level.tokens < state.level.tokens;
+        state.is_level_lowered |= level.tokens < state.level.tokens;
         state.level = level;
         drop(state);
         if changed {
@@ -131,80 +136,86 @@
                 level.tokens,
                 level.version
             );
-            let _ = self.kick.try_send(());
+            let _ = self.settle_requests.try_send(());
         }
     }
 
-    /// Reserves the worst case of a request, waiting at most `patience` for the store.
+    /// Reserves the worst case of a request, waiting at most `timeout` for the store.
     pub(crate) async fn reserve(
-        self: &Arc<Purse>,
+        self: &Arc<TeamBudget>,
         tokens: u64,
-        patience: Duration,
-    ) -> Result<Reservation, Denied> {
+        timeout: Duration,
+    ) -> Result<Reservation, DenialReason> {
         let now = self.now();
         let begun = {
             let mut state = self.lock();
             state.demand.ask(now);
             if state.reserve(tokens) {
-                return Ok(Reservation::here(self, state.life, tokens));
+                return Ok(Reservation::local(self, state.generation, tokens));
             }
-            let is_fresh = now.saturating_sub(state.latest.began) < EMPTY_MS;
-            let is_conclusive = |denied: &Denied| match denied {
+            let is_fresh = now.saturating_sub(state.latest_settlement.began_ms) < DENIAL_REUSE_MS;
+            let is_conclusive = |denied: &DenialReason| match denied {
                 // A settlement without waiting requests, such as the opening one, sends no call for tokens.
-                Denied::Elsewhere => state.has_recent_recall(now, self.rivals()),
-                Denied::Spent | Denied::Away => true,
+                DenialReason::Elsewhere => state.has_recent_recall(now, self.writers()),
+                DenialReason::Spent | DenialReason::Away => true,
             };
-            if let Some(denied) = state.denied(tokens).filter(|denied| is_fresh && is_conclusive(denied)) {
+            if let Some(denied) =
+                state.denial_reason(tokens).filter(|denied| is_fresh && is_conclusive(denied))
+            {
                 return Err(denied);
             }
-            state.begun
+            state.settlements_begun
         };
-        let _waiter = Waiter::new(self, tokens);
-        let held = exec::timeout(patience, self.wait(tokens, begun)).await;
+        let _guard = WaitGuard::new(self, tokens);
+        let held = exec::timeout(timeout, self.wait_for_tokens(tokens, begun)).await;
         held.unwrap_or_else(|| {
             let mut state = self.lock();
             match state.reserve(tokens) {
-                true => Ok(Reservation::here(self, state.life, tokens)),
-                false => Err(state.denied(tokens).unwrap_or(Denied::Away)),
+                true => Ok(Reservation::local(self, state.generation, tokens)),
+                false => Err(state.denial_reason(tokens).unwrap_or(DenialReason::Away)),
             }
         })
     }
 
     /// Waits for a settlement with a higher number than `begun` to bring the tokens, or to show that they can't
     /// be had.
-    async fn wait(self: &Arc<Purse>, tokens: u64, mut begun: u64) -> Result<Reservation, Denied> {
+    async fn wait_for_tokens(
+        self: &Arc<TeamBudget>,
+        tokens: u64,
+        mut begun: u64,
+    ) -> Result<Reservation, DenialReason> {
         let mut is_settlement_due = true;
         loop {
             let listener = self.changed.listen();
             let denied = {
                 let mut state = self.lock();
                 if state.reserve(tokens) {
-                    return Ok(Reservation::here(self, state.life, tokens));
+                    return Ok(Reservation::local(self, state.generation, tokens));
                 }
                 // Only what binds is renewed, and only when that is new: each call to the store is paid for.
-                if state.is_noted_short(tokens) {
-                    let _ = self.note.try_send(());
+                if state.exceeds_note_limit(tokens) {
+                    let _ = self.note_requests.try_send(());
                 }
                 let is_short = state.grant.usable() < tokens;
                 if is_short && std::mem::take(&mut is_settlement_due) {
-                    let _ = self.kick.try_send(());
+                    let _ = self.settle_requests.try_send(());
                 }
-                let is_new = state.latest.number > begun;
-                if is_new && is_short && !state.latest.settled {
-                    return Err(Denied::Away);
+                let is_new = state.latest_settlement.number > begun;
+                if is_new && is_short && !state.latest_settlement.succeeded {
+                    return Err(DenialReason::Away);
                 }
-                state.denied(tokens).filter(|_| is_new)
+                state.denial_reason(tokens).filter(|_| is_new)
             };
             match denied {
-                Some(Denied::Elsewhere) => {
+                Some(DenialReason::Elsewhere) => {
                     // The other routers were told; what they give back is there soon.
-                    exec::sleep(RECALL).await;
-                    begun = self.lock().begun;
+                    exec::sleep(RECALL_WAIT).await;
+                    begun = self.lock().settlements_begun;
                     is_settlement_due = true;
                 }
                 Some(denied) => return Err(denied),
                 None => {
-                    let _ = exec::timeout(LOOK, listener).await;
+                    let _ = exec::timeout(LIMIT_POLL_INTERVAL, listener).await;
                 }
             }
         }
@@ -213,84 +224,88 @@
     /// Takes in what earlier processes of this VM are known to have used: it says how much this one will need.
     pub(crate) fn set_earlier_use(&self, tokens: u64) {
         self.lock().earlier_use = tokens;
-        let _ = self.kick.try_send(());
+        let _ = self.settle_requests.try_send(());
     }
 
     /// How many gateways settle this budget: its owners, or all of them where others own it, since all draw on it when its
     /// owners do not answer.
-    pub(crate) fn rivals(&self) -> u64 {
+    pub(crate) fn writers(&self) -> u64 {
         match self.owners.load(Ordering::Relaxed) {
-            0 => self.fleet.load(Ordering::Relaxed).max(1),
+            0 => self.fleet_size.load(Ordering::Relaxed).max(1),
             owners => owners,
         }
     }
 
     /// Gives idle tokens back: another router is short of so many. In a large fleet the answers are spread over some time, since
     /// each is a write to the same partition.
-    pub(crate) fn recall(self: &Arc<Purse>, missing: u64) {
+    pub(crate) fn recall(self: &Arc<TeamBudget>, missing: u64) {
         {
             let mut state = self.lock();
             let now = state.now();
-            state.asked = Some(now);
+            state.last_recall_ms = Some(now);
             if state.grant.available() == 0 {
                 return;
             }
-            state.recalled = Some(state.recalled.unwrap_or(0).max(missing));
+            state.recalled_tokens = Some(state.recalled_tokens.unwrap_or(0).max(missing));
         }
-        let spread = self.rivals().saturating_sub(SMALL_FLEET) * RECALL_SPREAD_MS;
+        let spread = self.writers().saturating_sub(SMALL_FLEET) * RECALL_SPREAD_MS;
         if spread == 0 {
-            let _ = self.kick.try_send(());
+            let _ = self.settle_requests.try_send(());
             return;
         }
         let delay = Duration::from_millis(rand::Rng::gen_range(&mut rand::thread_rng(), 0..spread));
-        let purse = self.clone();
+        let budget = self.clone();
         exec::spawn(async move {
             exec::sleep(delay).await;
-            let _ = purse.kick.try_send(());
+            let _ = budget.settle_requests.try_send(());
         })
         .detach();
     }
 
     /// When so many tokens may be had, in milliseconds from now.
-    pub(crate) fn ready_in(&self, tokens: u64) -> u64 {
+    pub(crate) fn retry_after_ms(&self, tokens: u64) -> u64 {
         let state = self.lock();
         if state.grant.available() < tokens {
-            return if state.latest.settled { READY_ELSEWHERE_MS } else { READY_AWAY_MS };
+            return if state.latest_settlement.succeeded {
+                RETRY_HELD_ELSEWHERE_MS
+            } else {
+                RETRY_STORE_DOWN_MS
+            };
         }
         let wanted = state.grant.used().saturating_add(tokens);
-        let ready = (READY_STEP_MS..READY_AWAY_MS).step_by(READY_STEP_MS as usize);
+        let ready = (RETRY_STEP_MS..RETRY_STORE_DOWN_MS).step_by(RETRY_STEP_MS as usize);
         let now = state.now();
-        ready.into_iter().find(|ms| state.notes.limit(now + ms) >= wanted).unwrap_or(READY_AWAY_MS)
+        ready.into_iter().find(|ms| state.notes.limit(now + ms) >= wanted).unwrap_or(RETRY_STORE_DOWN_MS)
     }
 
     /// What decides on a reservation of so many tokens, for the log.
     pub(crate) fn explain(&self, tokens: u64) -> String {
         let now = self.now();
         let state = self.lock();
-        let noted = state.limit().saturating_sub(state.grant.used());
+        let noted = state.note_limit().saturating_sub(state.grant.used());
         let note_age = state.notes.age(now).unwrap_or(0);
-        let latest = &state.latest;
+        let latest = &state.latest_settlement;
         format!(
             "tokens={tokens} available={} noted={} note-age-ms={note_age} pool-free={} pool-outstanding={} pool-spent={} level={} level-version={} settled={} settle-age-ms={}",
             state.grant.available(),
             noted.min(state.level.tokens),
-            latest.free,
+            latest.pool_free,
             state.rows.pool.outstanding,
             state.rows.pool.spent,
             state.level.tokens,
             state.level.version,
-            latest.settled,
-            now.saturating_sub(latest.began),
+            latest.succeeded,
+            now.saturating_sub(latest.began_ms),
         )
     }
 
     /// What is known of the budget's tokens.
-    pub(crate) fn figures(&self) -> Figures {
+    pub(crate) fn token_counts(&self) -> TokenCounts {
         let state = self.lock();
-        Figures {
+        TokenCounts {
             available: state.grant.available(),
             in_use: state.grant.in_use(),
-            free: state.latest.free,
+            free: state.latest_settlement.pool_free,
             outstanding: state.rows.pool.outstanding,
             spent: state.rows.pool.spent,
             level: state.level.tokens,
@@ -299,8 +314,8 @@
 
     /// Gives idle tokens back from now on; requests may still draw what they need.
     pub(crate) fn retire(&self) {
-        self.closed.store(true, Ordering::Relaxed);
-        let _ = self.kick.try_send(());
+        self.retired.store(true, Ordering::Relaxed);
+        let _ = self.settle_requests.try_send(());
     }
 
     /// Settles everything and gives unused tokens back, within `limit`.
@@ -318,7 +333,7 @@
             }
         };
         if exec::timeout(limit, settled).await.is_none() {
-            let Figures { available, in_use, .. } = self.figures();
+            let TokenCounts { available, in_use, .. } = self.token_counts();
             log::warn!(
                 "budget: event=left-unsettled team={} available={available} in-use={in_use}",
                 self.team
@@ -328,21 +343,21 @@
 }
 
 /// Counts a request that waits for tokens.
-struct Waiter<'a> {
-    purse: &'a Purse,
+struct WaitGuard<'a> {
+    budget: &'a TeamBudget,
     tokens: u64,
 }
 
-impl<'a> Waiter<'a> {
-    fn new(purse: &'a Purse, tokens: u64) -> Waiter<'a> {
-        purse.lock().waiting += tokens;
-        Waiter { purse, tokens }
+impl<'a> WaitGuard<'a> {
+    fn new(budget: &'a TeamBudget, tokens: u64) -> WaitGuard<'a> {
+        budget.lock().waiting_tokens += tokens;
+        WaitGuard { budget, tokens }
     }
 }
 
-impl Drop for Waiter<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.purse.lock().waiting -= self.tokens;
+        self.budget.lock().waiting_tokens -= self.tokens;
     }
 }
 
@@ -350,49 +365,49 @@
 #[derive(Debug)]
 pub(crate) enum Reservation {
     /// At this gateway.
-    Here(Reserved),
+    Local(LocalReservation),
     /// At the gateway that owns the team's budget.
-    Elsewhere(Pledge),
+    Remote(RemoteReservation),
 }
 
 /// Tokens of this gateway that are set aside.
 #[derive(Debug)]
-pub(crate) struct Reserved {
-    purse: Arc<Purse>,
-    life: u64,
+pub(crate) struct LocalReservation {
+    budget: Arc<TeamBudget>,
+    generation: u64,
     tokens: u64,
 }
 
 impl Reservation {
-    fn here(purse: &Arc<Purse>, life: u64, tokens: u64) -> Reservation {
-        Reservation::Here(Reserved { purse: purse.clone(), life, tokens })
+    fn local(budget: &Arc<TeamBudget>, generation: u64, tokens: u64) -> Reservation {
+        Reservation::Local(LocalReservation { budget: budget.clone(), generation, tokens })
     }
 
     /// Charges what the request used; the rest becomes available again.
     pub(crate) fn charge(self, request: &str, tokens: u64) {
         match self {
-            Reservation::Here(reserved) => reserved.charge(request, tokens),
-            Reservation::Elsewhere(pledge) => pledge.charge(request, tokens),
+            Reservation::Local(reserved) => reserved.charge(request, tokens),
+            Reservation::Remote(reservation) => reservation.charge(request, tokens),
         }
     }
 
     /// Charges all that was reserved: nobody knows what was used.
     pub(crate) fn charge_all(self, request: &str) {
         match self {
-            Reservation::Here(reserved) => {
+            Reservation::Local(reserved) => {
                 let tokens = reserved.tokens;
                 reserved.charge(request, tokens);
             }
-            Reservation::Elsewhere(pledge) => drop(pledge),
+            Reservation::Remote(reservation) => drop(reservation),
         }
     }
 }
 
-impl Reserved {
+impl LocalReservation {
     fn charge(mut self, request: &str, tokens: u64) {
         let reserved = std::mem::take(&mut self.tokens);
-        let mut state = self.purse.lock();
-        if state.life != self.life {
+        let mut state = self.budget.lock();
+        if state.generation != self.generation {
             return;
         }
         let charge = Charge { request: request.to_owned(), key: None, tokens };
@@ -401,18 +416,18 @@
     }
 }
 
-impl Drop for Reserved {
+impl Drop for LocalReservation {
     fn drop(&mut self) {
         if self.tokens > 0 {
-            let mut state = self.purse.lock();
-            if state.life == self.life {
+            let mut state = self.budget.lock();
+            if state.generation == self.generation {
                 state.grant.release(self.tokens);
             }
         }
     }
 }
 
-impl Purse {
+impl TeamBudget {
     /// Makes the schedule for a note that is about to be sent; it binds from now on.
     ///
     /// `note_ms` is how long a note takes to be acknowledged, `owners` how many gateways own the budget.
@@ -421,14 +436,14 @@
         let schedule = state.schedule(note_ms, owners);
         let now = state.now();
         state.notes.begin(now, schedule);
-        (state.life, schedule)
+        (state.generation, schedule)
     }
 
     /// Takes in how the newest note ended: `Some(true)` if it took effect, `Some(false)` if it certainly did not,
     /// `None` if that is not known.
-    pub(crate) fn end_note(&self, life: u64, took_effect: Option<bool>) {
+    pub(crate) fn end_note(&self, generation: u64, took_effect: Option<bool>) {
         let mut state = self.lock();
-        if state.life != life {
+        if state.generation != generation {
             return;
         }
         state.notes.end(took_effect);
--- a/crates/gateway/tests/unit/members.rs
+++ b/crates/gateway/tests/unit/members.rs
@@ -1,7 +1,7 @@
 //! Who is alive, around cuts and restarts.
 
 use super::*;
-use crate::support::{Plain, manifest, node};
+use crate::support::{PlainTextWire, manifest, node};
 use crate::table::{BUDGETS, POOL};
 use standin::TableRows;
 use store::rows::Record;
@@ -22,7 +22,7 @@
     exec::sleep(Duration::from_millis(ms)).await;
 }
 
-fn router() -> Arc<Node<Plain, TableRows>> {
+fn router() -> Arc<Node<PlainTextWire, TableRows>> {
     node("vm-1", 1, &TableRows::default())
 }
 
@@ -70,7 +70,7 @@
         let teams = cut_off.manifest().expect("a manifest");
         let purse = cut_off.purse(&teams, &teams.teams["desk"]).expect("a budget");
         purse.reserve(10_000, Duration::from_secs(2)).await.expect("tokens").charge("r-1", 10_000);
-        let held = purse.figures().available;
+        let held = purse.token_counts().available;
         assert!(held > 10_000, "{held} tokens are at hand");
 
         forget(&other, "vm-1").await;
--- a/crates/gateway/tests/unit/owners.rs
+++ b/crates/gateway/tests/unit/owners.rs
@@ -24,8 +24,8 @@
 }
 
 fn chosen(team: &str, views: &[(SocketAddr, Owners)]) -> Vec<SocketAddr> {
-    let at = |(own, owners): &(SocketAddr, Owners)| match owners.of(team) {
-        Owner::Own => *own,
+    let at = |(own, owners): &(SocketAddr, Owners)| match owners.owner_of(team) {
+        Owner::Local => *own,
         Owner::Peer(peer) => peer,
     };
     let mut owners: Vec<SocketAddr> = views.iter().map(at).collect();
@@ -56,8 +56,11 @@
         let chosen = chosen(team, &views);
         assert_eq!(chosen.len(), count, "{team}");
         let share = Some(count as u64);
-        let owning: Vec<SocketAddr> =
-            views.iter().filter(|(_, owners)| owners.share(team) == share).map(|(own, _)| *own).collect();
+        let owning: Vec<SocketAddr> = views
+            .iter()
+            .filter(|(_, owners)| owners.owner_count(team) == share)
+            .map(|(own, _)| *own)
+            .collect();
         assert_eq!(owning, chosen, "those that are asked know that they own it");
     }
 }
@@ -70,7 +73,7 @@
         owners.set_peers(&fleet(gateways)[1..]);
         let names: Vec<String> = (0..40).map(|index| format!("team-{index}")).collect();
         owners.set_levels(names.iter().map(|name| (name.as_str(), 1_000)));
-        owners.count()
+        owners.total_owners()
     };
     assert_eq!([30, 100, 300, 1_000].map(owners_in), [30, 40, 40, 40]);
 }
@@ -91,7 +94,7 @@
 fn an_owner_that_does_not_answer_is_passed_over_by_all_alike() {
     let views = views(&fleet(7));
     let first = chosen("desk", &views)[0];
-    views.iter().for_each(|(_, owners)| owners.rest(first));
+    views.iter().for_each(|(_, owners)| owners.skip(first));
     let others: Vec<_> = views.into_iter().filter(|(own, _)| *own != first).collect();
     let second = chosen("desk", &others);
     assert_eq!(second.len(), 1);
@@ -101,6 +104,6 @@
 #[test]
 fn a_gateway_that_knows_no_other_owns_all() {
     let owners = Owners::new("vm-1", CORES);
-    assert_eq!(owners.of("desk"), Owner::Own);
-    assert_eq!(owners.share("desk"), None);
+    assert_eq!(owners.owner_of("desk"), Owner::Local);
+    assert_eq!(owners.owner_count("desk"), None);
 }
--- a/crates/gateway/tests/unit/delegate.rs
+++ b/crates/gateway/tests/unit/peer_reservations.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::owners::Peer;
-use crate::support::{Plain, manifest, node};
+use crate::support::{PlainTextWire, manifest, node};
 use crate::table::{BUDGETS, POOL};
 use assert_matches::assert_matches;
 use budget::ledger::Pool;
@@ -16,9 +16,9 @@
 /// Two gateways: the one that owns the team's budget, with its listener, and the other.
 struct Pair {
     rows: TableRows,
-    owner: Arc<Node<Plain, TableRows>>,
+    owner: Arc<Node<PlainTextWire, TableRows>>,
     handle: Option<Handle>,
-    other: Arc<Node<Plain, TableRows>>,
+    other: Arc<Node<PlainTextWire, TableRows>>,
 }
 
 impl Pair {
@@ -31,7 +31,7 @@
         let anywhere = "127.0.0.1:1".parse().expect("an address");
         let peer = |name: &str, address| Peer { name: name.to_owned(), address, cores: 1.0 };
         one.set_peers(&[peer("vm-2", anywhere)]);
-        let (owner, other) = if one.owners.of(TEAM) == Owner::Own { (one, two) } else { (two, one) };
+        let (owner, other) = if one.owners.owner_of(TEAM) == Owner::Local { (one, two) } else { (two, one) };
         let shared = owner.clone();
         let handle = net::serve(standin::loopback(), net::Limits::default(), move |request| {
             answer(shared.clone(), request)
@@ -44,15 +44,15 @@
 
     async fn reserve(&self, tokens: u64) -> Result<Option<Reservation>, Denial> {
         let manifest = self.other.manifest().expect("a manifest");
-        let purse = || self.other.purse(&manifest, &manifest.teams[TEAM]);
+        let budget = || self.other.purse(&manifest, &manifest.teams[TEAM]);
         let level = Level { version: manifest.version, tokens: TOTAL };
-        reserve(&self.other, purse, TEAM, level, tokens, Duration::from_millis(500), LASTS).await
+        reserve(&self.other, budget, TEAM, level, tokens, Duration::from_millis(500), LASTS).await
     }
 
     /// Tokens that the owner has in use.
     fn in_use(&self) -> u64 {
-        let purse = self.owner.purses().get(TEAM).cloned();
-        purse.map_or(0, |purse| purse.lock().grant.reserved())
+        let budget = self.owner.purses().get(TEAM).cloned();
+        budget.map_or(0, |budget| budget.lock().grant.reserved())
     }
 
     /// What the store has as spent, once it is `tokens`.
@@ -76,7 +76,7 @@
     exec::block_on(async {
         let pair = Pair::start().await;
         let reservation = pair.reserve(10_000).await.expect("tokens").expect("a budget");
-        assert_matches!(reservation, Reservation::Elsewhere(_));
+        assert_matches!(reservation, Reservation::Remote(_));
         assert_eq!(pair.in_use(), 10_000);
         reservation.charge("r-1", 4_000);
         assert_eq!(pair.spent(4_000).await, 4_000);
@@ -105,7 +105,7 @@
     exec::block_on(async {
         let pair = Pair::start().await;
         let held = pair.reserve(TOTAL).await.expect("tokens");
-        assert_matches!(pair.reserve(1).await, Err((Denied::Spent, _, _)));
+        assert_matches!(pair.reserve(1).await, Err((DenialReason::Spent, _, _)));
         drop(held);
     });
 }
@@ -116,9 +116,9 @@
         let pair = Pair::start().await;
         let reservation = pair.reserve(10_000).await.expect("tokens").expect("a budget");
         // The other gateway dies.
-        let Reservation::Elsewhere(pledge) = reservation else { panic!("it is reserved at the owner") };
-        pledge.forget();
-        for (_, until) in pair.owner.delegate.pledges.lock().expect("the pledges").values_mut() {
+        let Reservation::Remote(remote) = reservation else { panic!("it is reserved at the owner") };
+        remote.discard();
+        for (_, until) in pair.owner.delegate.held.lock().expect("the lock").values_mut() {
             *until = Instant::now();
         }
         pair.owner.delegate.expire();
@@ -132,8 +132,8 @@
         let mut pair = Pair::start().await;
         drop(pair.handle.take());
         let reservation = pair.reserve(10_000).await.expect("tokens").expect("a budget");
-        assert_matches!(reservation, Reservation::Here(_));
-        assert_eq!(pair.other.owners.of(TEAM), Owner::Own, "the owner is passed over for a while");
+        assert_matches!(reservation, Reservation::Local(_));
+        assert_eq!(pair.other.owners.owner_of(TEAM), Owner::Local, "the owner is passed over for a while");
     });
 }
 
@@ -145,7 +145,7 @@
         assert_eq!(pair.spent(10_000).await, 10_000);
         pair.rows.set_fault(RowsFault::Down);
         let reservation = pair.reserve(2_000).await.expect("the owner has tokens at hand");
-        assert_matches!(reservation, Some(Reservation::Elsewhere(_)));
+        assert_matches!(reservation, Some(Reservation::Remote(_)));
     });
 }
 
@@ -155,6 +155,6 @@
         let pair = Pair::start().await;
         pair.owner.set_phase(Phase::Leaving);
         let reservation = pair.reserve(10_000).await.expect("tokens").expect("a budget");
-        assert_matches!(reservation, Reservation::Here(_));
+        assert_matches!(reservation, Reservation::Local(_));
     });
 }
--- a/crates/gateway/tests/unit/settle.rs
+++ b/crates/gateway/tests/unit/settle.rs
@@ -1,12 +1,12 @@
-//! Settlements whose answers are lost, come late, or meet another router's.
+//! Settlements whose answers are lost, come late, or meet another gateway's.
 
-use super::pause;
-use crate::holding::Denied;
+use super::retry_delay;
+use crate::budget_state::DenialReason;
 use crate::node::Node;
 use crate::notes::Recovery;
-use crate::purse::Purse;
-use crate::support::{Plain, go_on, manifest, node};
+use crate::support::{PlainTextWire, manifest, node, recover_all};
 use crate::table::{BUDGETS, POOL};
+use crate::team_budget::TeamBudget;
 use assert_matches::assert_matches;
 use budget::ledger::Pool;
 use standin::{RowsFault, TableRows};
@@ -15,7 +15,7 @@
 
 const PATIENCE: Duration = Duration::from_millis(3_000);
 
-fn started(name: &str, rows: &TableRows, version: u64, tokens: u64) -> Arc<Node<Plain, TableRows>> {
+fn started(name: &str, rows: &TableRows, version: u64, tokens: u64) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node(name, 1, rows);
     assert!(node.put_in_force(manifest(version, &[("desk", tokens)])));
     node.fleet.store(2, std::sync::atomic::Ordering::Relaxed);
@@ -23,7 +23,7 @@
     node
 }
 
-fn purse(node: &Node<Plain, TableRows>) -> Arc<Purse> {
+fn budget(node: &Node<PlainTextWire, TableRows>) -> Arc<TeamBudget> {
     let manifest = node.manifest().expect("a manifest is in force");
     node.purse(&manifest, &manifest.teams["desk"]).expect("the team has a budget")
 }
@@ -48,13 +48,13 @@
 fn what_was_used_is_spent_once_though_answers_are_lost() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let router = started("vm-1", &rows, 1, 10_000);
+        let gateway = started("vm-1", &rows, 1, 10_000);
         rows.set_fault(RowsFault::LostAnswers);
-        let purse = purse(&router);
-        let first = purse.reserve(4_000, Duration::from_millis(50)).await;
-        assert_matches!(first, Err(Denied::Away));
+        let budget = budget(&gateway);
+        let first = budget.reserve(4_000, Duration::from_millis(50)).await;
+        assert_matches!(first, Err(DenialReason::Away));
         rows.set_fault(RowsFault::None);
-        purse.reserve(4_000, PATIENCE).await.expect("tokens").charge("r-1", 3_000);
+        budget.reserve(4_000, PATIENCE).await.expect("tokens").charge("r-1", 3_000);
         until(&rows, "the charge is settled", |pool| pool.spent == 3_000 && pool.balance()).await;
     });
 }
@@ -63,12 +63,12 @@
 fn a_write_that_lands_late_grants_nothing_twice() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let router = started("vm-1", &rows, 1, 10_000);
+        let gateway = started("vm-1", &rows, 1, 10_000);
         rows.set_fault(RowsFault::LateWrites);
-        let purse = purse(&router);
-        assert_matches!(purse.reserve(4_000, Duration::from_millis(50)).await, Err(Denied::Away));
+        let budget = budget(&gateway);
+        assert_matches!(budget.reserve(4_000, Duration::from_millis(50)).await, Err(DenialReason::Away));
         rows.set_fault(RowsFault::None);
-        let held = purse.reserve(4_000, PATIENCE).await.expect("tokens");
+        let held = budget.reserve(4_000, PATIENCE).await.expect("tokens");
         rows.land();
         held.charge("r-1", 4_000);
         until(&rows, "the charge is settled", |pool| pool.spent == 4_000).await;
@@ -81,15 +81,15 @@
 fn a_request_that_does_not_fit_is_refused_and_one_that_does_is_not() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let router = started("vm-1", &rows, 1, 10_000);
-        let purse = purse(&router);
-        assert_matches!(purse.reserve(10_001, PATIENCE).await, Err(Denied::Spent));
-        let all = purse.reserve(10_000, PATIENCE).await.expect("the whole budget fits");
+        let gateway = started("vm-1", &rows, 1, 10_000);
+        let budget = budget(&gateway);
+        assert_matches!(budget.reserve(10_001, PATIENCE).await, Err(DenialReason::Spent));
+        let all = budget.reserve(10_000, PATIENCE).await.expect("the whole budget fits");
         all.charge("r-1", 10_000);
-        assert_matches!(purse.reserve(1, PATIENCE).await, Err(Denied::Spent));
-        router.put_in_force(manifest(2, &[("desk", 12_000)]));
+        assert_matches!(budget.reserve(1, PATIENCE).await, Err(DenialReason::Spent));
+        gateway.put_in_force(manifest(2, &[("desk", 12_000)]));
         net::exec::sleep(Duration::from_millis(300)).await;
-        purse.reserve(2_000, PATIENCE).await.expect("the top-up");
+        budget.reserve(2_000, PATIENCE).await.expect("the top-up");
     });
 }
 
@@ -98,9 +98,9 @@
     net::exec::block_on(async {
         let rows = TableRows::default();
         let (one, two) = (started("vm-1", &rows, 1, 10_000), started("vm-2", &rows, 1, 10_000));
-        drop(purse(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
-        until(&rows, "the first router holds its share", |pool| pool.outstanding >= 3_000).await;
-        let held = purse(&two).reserve(9_500, PATIENCE).await;
+        drop(budget(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
+        until(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
+        let held = budget(&two).reserve(9_500, PATIENCE).await;
         assert!(held.is_ok(), "the idle tokens never came back: {held:?}");
     });
 }
@@ -109,13 +109,16 @@
 fn a_lowered_level_takes_idle_tokens_back() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let router = started("vm-1", &rows, 1, 10_000);
-        let purse = purse(&router);
-        purse.reserve(1_000, PATIENCE).await.expect("tokens").charge("r-1", 1_000);
+        let gateway = started("vm-1", &rows, 1, 10_000);
+        let budget = budget(&gateway);
+        budget.reserve(1_000, PATIENCE).await.expect("tokens").charge("r-1", 1_000);
         until(&rows, "a share is held", |pool| pool.spent == 1_000 && pool.outstanding > 0).await;
-        router.put_in_force(manifest(2, &[("desk", 1_500)]));
+        gateway.put_in_force(manifest(2, &[("desk", 1_500)]));
         until(&rows, "nothing beyond the level is out", |pool| pool.spent + pool.outstanding <= 1_500).await;
-        assert_matches!(purse.reserve(1_000, PATIENCE).await, Err(Denied::Spent | Denied::Elsewhere));
+        assert_matches!(
+            budget.reserve(1_000, PATIENCE).await,
+            Err(DenialReason::Spent | DenialReason::Elsewhere)
+        );
     });
 }
 
@@ -123,14 +126,14 @@
 fn a_stopped_router_gives_everything_back() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let router = started("vm-1", &rows, 1, 10_000);
-        let purse = purse(&router);
-        purse.reserve(1_000, PATIENCE).await.expect("tokens").charge("r-1", 700);
-        purse.close(PATIENCE).await;
+        let gateway = started("vm-1", &rows, 1, 10_000);
+        let budget = budget(&gateway);
+        budget.reserve(1_000, PATIENCE).await.expect("tokens").charge("r-1", 700);
+        budget.close(PATIENCE).await;
         let pool = pool(&rows);
         assert_eq!((pool.spent, pool.outstanding, pool.free), (700, 0, 9_300));
         let next = started("vm-1", &rows, 1, 10_000);
-        go_on(&mut Recovery::default(), &next, &next.manifest().expect("a manifest"))
+        recover_all(&mut Recovery::default(), &next, &next.manifest().expect("a manifest"))
             .await
             .expect("nothing is left to close");
         assert_eq!(self::pool(&rows).free, 9_300);
@@ -139,8 +142,10 @@
 
 #[test]
 fn settlements_that_keep_failing_pause_longer_the_larger_the_fleet() {
-    let longest = |failures, fleet| (0..50).map(|_| pause(failures, fleet).as_millis()).max().unwrap_or(0);
-    let shortest = |failures, fleet| (0..50).map(|_| pause(failures, fleet).as_millis()).min().unwrap_or(0);
+    let longest =
+        |failures, fleet| (0..50).map(|_| retry_delay(failures, fleet).as_millis()).max().unwrap_or(0);
+    let shortest =
+        |failures, fleet| (0..50).map(|_| retry_delay(failures, fleet).as_millis()).min().unwrap_or(0);
     assert!(
         longest(0, 6) <= 250 && longest(20, 6) <= 500,
         "a small fleet notices soon that the store is back"
@@ -153,14 +158,14 @@
 fn a_router_without_idle_tokens_answers_no_call_for_them() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let router = started("vm-1", &rows, 1, 10_000);
-        let purse = purse(&router);
-        let all = purse.reserve(10_000, PATIENCE).await;
+        let gateway = started("vm-1", &rows, 1, 10_000);
+        let budget = budget(&gateway);
+        let all = budget.reserve(10_000, PATIENCE).await;
         let all =
-            all.unwrap_or_else(|denied| panic!("{denied:?} {} {:?}", purse.explain(10_000), purse.lock()));
+            all.unwrap_or_else(|denied| panic!("{denied:?} {} {:?}", budget.explain(10_000), budget.lock()));
         net::exec::sleep(Duration::from_millis(300)).await;
         let before = rows.commits();
-        purse.recall(1_000);
+        budget.recall(1_000);
         net::exec::sleep(Duration::from_millis(300)).await;
         assert_eq!(rows.commits(), before, "it has nothing to give back");
         all.charge("r-1", 10_000);
@@ -171,12 +176,12 @@
 fn what_a_waiting_request_is_about_to_reserve_is_not_given_back() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let router = started("vm-1", &rows, 1, 10_000);
-        let purse = purse(&router);
+        let gateway = started("vm-1", &rows, 1, 10_000);
+        let budget = budget(&gateway);
         net::exec::sleep(Duration::from_millis(200)).await;
-        let mut state = purse.lock();
+        let mut state = budget.lock();
         // A settlement brought all tokens; the request that waits for them has not run yet.
-        state.waiting = 10_000;
+        state.waiting_tokens = 10_000;
         let batch = state.next_batch("desk", 1_000, false, 2).expect("the rest is drawn");
         assert_eq!(batch.entries["desk"].need, 10_000 - 3_750);
         let mut account = state.rows.account.clone();
@@ -198,9 +203,9 @@
         let rows = TableRows::default();
         let (one, two) = (started("vm-1", &rows, 1, 10_000), started("vm-2", &rows, 1, 10_000));
         net::exec::sleep(Duration::from_millis(100)).await;
-        drop(purse(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
-        until(&rows, "the first router holds its share", |pool| pool.outstanding >= 3_000).await;
-        let held = purse(&two).reserve(9_500, Duration::from_millis(600)).await;
+        drop(budget(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
+        until(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
+        let held = budget(&two).reserve(9_500, Duration::from_millis(600)).await;
         assert!(held.is_ok(), "the call was not heard: {held:?}");
     });
 }
@@ -212,17 +217,17 @@
     net::exec::block_on(async {
         let rows = TableRows::default();
         let (one, two) = (started("vm-1", &rows, 1, 10_000), started("vm-2", &rows, 1, 10_000));
-        drop(purse(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
-        until(&rows, "the first router holds its share", |pool| pool.outstanding >= 3_000).await;
-        let purse = purse(&two);
+        drop(budget(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
+        until(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
+        let budget = budget(&two);
         for _ in 0..2_000 {
-            if purse.lock().latest.settled {
+            if budget.lock().latest_settlement.succeeded {
                 break;
             }
             net::exec::sleep(Duration::from_millis(1)).await;
         }
-        assert!(purse.lock().latest.settled, "the budget was never opened");
-        let held = purse.reserve(9_500, PATIENCE).await;
-        assert!(held.is_ok(), "refused although the other router holds idle tokens: {held:?}");
+        assert!(budget.lock().latest_settlement.succeeded, "the budget was never opened");
+        let held = budget.reserve(9_500, PATIENCE).await;
+        assert!(held.is_ok(), "refused although the other gateway holds idle tokens: {held:?}");
     });
 }
--- a/crates/gateway/tests/unit/snapshot.rs
+++ b/crates/gateway/tests/unit/snapshot.rs
@@ -4,7 +4,7 @@
 //! read each row when it started.
 
 use super::*;
-use crate::support::{Plain, node};
+use crate::support::{PlainTextWire, node};
 use crate::watch;
 use standin::{RowsFault, TableRows};
 
@@ -18,12 +18,12 @@
 
 /// A node that follows the list until it is dropped: tasks that outlive their test take processor time from the others.
 struct Gateway {
-    node: Arc<Node<Plain, TableRows>>,
+    node: Arc<Node<PlainTextWire, TableRows>>,
     _watch: smol::Task<()>,
 }
 
 impl std::ops::Deref for Gateway {
-    type Target = Node<Plain, TableRows>;
+    type Target = Node<PlainTextWire, TableRows>;
 
     fn deref(&self) -> &Self::Target {
         &self.node
@@ -46,11 +46,11 @@
     panic!("{what}");
 }
 
-fn knows(node: &Node<Plain, TableRows>, count: usize) -> impl Fn() -> bool + '_ {
+fn knows(node: &Node<PlainTextWire, TableRows>, count: usize) -> impl Fn() -> bool + '_ {
     move || node.listings().len() == count
 }
 
-fn whole_reads(node: &Node<Plain, TableRows>) -> u64 {
+fn whole_reads(node: &Node<PlainTextWire, TableRows>) -> u64 {
     node.metrics.store_calls.with_label_values(&["list", LIST, "read"]).get()
 }
 
--- a/crates/gateway/tests/unit/support.rs
+++ b/crates/gateway/tests/unit/support.rs
@@ -2,7 +2,7 @@
 
 use crate::manifest::{Manifest, Team};
 use crate::node::Node;
-use crate::notes::{Next, Recovery};
+use crate::notes::{Progress, Recovery};
 use crate::ports::{Ask, Dispatch, Listing, Malformed, Reply, Wire};
 use crate::settings::{Bounds, Listen, Settings};
 use http::{HeaderMap, request, response};
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 
 /// A language in which an upstream's row is "service address [leaving] [started=N] [warmup=N]", or else unfit.
-pub(crate) struct Plain;
+pub(crate) struct PlainTextWire;
 
-impl Wire for Plain {
+impl Wire for PlainTextWire {
     fn manifest_row(&self) -> (&str, &str) {
         ("operator", "manifest")
     }
@@ -80,7 +80,7 @@
 }
 
 /// A node that runs no tasks of its own.
-pub(crate) fn node(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<Plain, TableRows>> {
+pub(crate) fn node(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     net::exec::start(2);
     let address = standin::loopback();
     let settings = Settings {
@@ -96,7 +96,7 @@
         bounds: Bounds::default(),
     };
     let (note, _) = async_channel::bounded(1);
-    Arc::new(Node::new(settings, incarnation, Plain, rows.clone(), note))
+    Arc::new(Node::new(settings, incarnation, PlainTextWire, rows.clone(), note))
 }
 
 /// A manifest with these teams and their prepaid tokens.
@@ -109,12 +109,12 @@
 }
 
 /// Closes first what was noted, then the rest, as far as the store answers.
-pub(crate) async fn go_on(
+pub(crate) async fn recover_all(
     recovery: &mut Recovery,
-    node: &Node<Plain, TableRows>,
+    node: &Node<PlainTextWire, TableRows>,
     manifest: &Manifest,
 ) -> Result<(), store::Error> {
     recovery.close_noted(node, manifest).await?;
-    while let Next::Closed = recovery.close_next(node, manifest).await? {}
+    while let Progress::Closed = recovery.close_next(node, manifest).await? {}
     Ok(())
 }
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams around outages of the store.
 
 use super::*;
-use crate::support::{Plain, node};
+use crate::support::{PlainTextWire, node};
 use standin::{RowsFault, TableRows};
 
 const TABLE: &str = "upstreams";
@@ -12,7 +12,7 @@
     }
 }
 
-async fn until(node: &Node<Plain, TableRows>, what: &str, count: usize) -> u64 {
+async fn until(node: &Node<PlainTextWire, TableRows>, what: &str, count: usize) -> u64 {
     let began = node.now();
     for _ in 0..400 {
         if node.listings().len() == count {
@@ -23,7 +23,7 @@
     panic!("{what}: {} upstreams are listed", node.listings().len());
 }
 
-fn followed(rows: &TableRows) -> Arc<Node<Plain, TableRows>> {
+fn followed(rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node("vm-1", 1, rows);
     exec::spawn(upstreams(node.clone())).detach();
     node
@@ -163,7 +163,7 @@
     });
 }
 
-async fn evacuated(node: &Node<Plain, TableRows>, what: &str, expected: &[&str]) {
+async fn evacuated(node: &Node<PlainTextWire, TableRows>, what: &str, expected: &[&str]) {
     for _ in 0..300 {
         if node.places().evacuated().eq(expected.iter().copied()) {
             return;
