--- a/crates/gateway/src/budget_state.rs
+++ b/crates/gateway/src/budget_state.rs
@@ -1,5 +1,5 @@
-//! What this router holds of one budget, and the decisions on it: what may be reserved, what the next settlement
-//! asks for, what the next note allows.
+//! The state of one budget on this gateway, and the decisions on it: what may be reserved, what the next
+//! settlement requests, and what the next usage note allows.
 
 use crate::settle::SETTLE_INTERVAL;
 use budget::demand::{Demand, Terms, is_off_target};
@@ -10,47 +10,50 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-// The shares, multiples and times below were chosen together on the standard days of two deployments, few of them one by
+// Most of the ratios and times below were tuned together on the standard days of two deployments, not one by
 // one: see the table in docs/design/platform.md.
 
-/// Charges settled in one batch.
+/// The largest number of charges settled in one batch.
 const MAX_BATCH_CHARGES: usize = 64;
-/// Seconds of demand held, so that requests need no call to the store and outages of it are bridged: the longest
-/// cuts that the platform was seen to have.
+/// The demand that a gateway holds tokens for, in seconds, so that requests need no call to the store and
+/// outages of it are bridged. Covers the longest network partitions that were seen on the platform.
 const DEMAND_COVER_S: u64 = 10;
-/// A budget counts as nearly spent when less than this part of it is left.
-const SCARCE_RATIO: f64 = 0.08;
-/// The part of what is left of a budget that routers hold together at most: what lies in the pool can't be had in a cut.
+/// A budget counts as nearly spent if less than this fraction of it is left.
+const NEARLY_SPENT_RATIO: f64 = 0.08;
+/// The largest fraction of what is left of a budget that all gateways together hold; the rest stays in the
+/// pool, which is out of reach during a network partition.
 const MAX_HELD_RATIO: f64 = 0.75;
-/// From this part of a budget on it counts as plentiful. Below, routers keep less of it idle when others need some, in
-/// proportion.
-const PLENTIFUL_RATIO: f64 = 0.5;
-/// The part of a budget that each router is taken to have used before it was seen to: so that the first uses do not
-/// decide how all of it is shared.
+/// Up to this fraction left, a budget counts as scarce: the less is left, the fewer idle tokens gateways keep
+/// if others need some, in proportion.
+const SCARCE_BELOW_RATIO: f64 = 0.5;
+/// The fraction of a budget that each gateway is assumed to have used at the start, so that the first
+/// requests alone do not decide how the budget is divided.
 const PRIOR_USE_RATIO: f64 = 0.005;
-/// The part of its idle tokens that a router keeps at most when others need some: below one half, so that it does give
-/// some back, and not none, since in a large fleet what all give back is far more than one needs.
+/// The largest fraction of its idle tokens that a gateway keeps if others need some. Below one half, since
+/// only a gateway that holds more than twice its target returns tokens; above zero, since in a large fleet
+/// the returns of all gateways add up to far more than one of them needs.
 const MAX_KEPT_RATIO: f64 = 0.45;
-/// The part of a budget that other routers hold idle at most, when none of it is to be had.
+/// The largest fraction of a budget that may be idle on other gateways although none of it can be had. If
+/// less than this would be left beside a denied request, the budget counts as spent.
 const IDLE_ELSEWHERE_RATIO: f64 = 0.03;
-/// How often a router asks the others for idle tokens of one budget at most, in milliseconds: they have none left
-/// right after they were asked.
+/// The shortest interval between two recalls of one budget, in milliseconds: right after a recall the other
+/// gateways have no idle tokens left.
 const RECALL_INTERVAL_MS: u64 = 1_000;
-/// The same for each router that holds the budget: all of them answer a call with a write to the budget's partition.
+/// The same for each gateway that settles the budget: all of them respond to a recall with a write to the
+/// budget's partition.
 const RECALL_INTERVAL_PER_WRITER_MS: u64 = 25;
 
-/// Why tokens can't be reserved.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum DenialReason {
-    /// The budget can't hold the request at its most.
+    /// What is left of the budget does not cover the worst case of the request.
     Spent,
-    /// The store does not answer, and the tokens at hand are not enough.
+    /// The store does not answer, and this gateway holds too few tokens or its notes allow too little use.
     Away,
-    /// Other routers hold what is left; they give it back.
+    /// Other gateways hold what is left and are going to return it.
     Elsewhere,
 }
 
-/// The rows of a budget as last seen.
+/// The rows of a budget as last read or written.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BudgetRows {
     pub pool: Pool,
@@ -60,52 +63,53 @@
     pub is_current: bool,
 }
 
-/// How the latest settlement ended.
+/// The result of a settlement.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SettlementResult {
-    /// When it began, in the budget's milliseconds.
+    /// When it began, as told by [`BudgetState::now`].
     pub began_ms: u64,
-    /// Its number, from 1.
+    /// Its number, counted from 1.
     pub number: u64,
     pub succeeded: bool,
     pub pool_free: u64,
 }
 
-/// One budget as this router holds it.
+/// The state of one budget on this gateway.
 #[derive(Debug)]
 pub(crate) struct BudgetState {
     started: Instant,
     pub grant: Grant,
     pub demand: Demand,
-    /// How fast the use grows that notes bound, reservations included: it leads what is charged by as long as requests last.
+    /// The growth of the use that notes limit, including reservations. It rises before `demand` does, by the
+    /// duration of the requests.
     use_growth: Demand,
-    /// The most that was in use or charged when the use_growth was last measured.
+    /// The highest use seen when `use_growth` was updated.
     max_used: u64,
     pub level: Level,
     pub is_level_lowered: bool,
     pub waiting_tokens: u64,
-    /// How long charges may wait for a settlement, in milliseconds.
+    /// The longest time for which charges may wait for a settlement, in milliseconds.
     record_ms: u64,
-    /// How many settlements have begun.
+    /// The number of settlements begun so far.
     pub settlements_begun: u64,
-    /// How many tokens another router asked for, if one did.
+    /// The most tokens that another gateway lacked in the recalls since the last batch, if there were any.
     pub recalled_tokens: Option<u64>,
-    /// Tokens that earlier processes of this VM used, as far as they were settled.
+    /// Tokens that earlier processes of this VM used and settled.
     pub earlier_use: u64,
-    /// When a router asked the others last, as far as this one knows, in the budget's milliseconds.
+    /// When any gateway last sent a recall, as far as this one knows, as told by [`BudgetState::now`].
     pub last_recall_ms: Option<u64>,
     pub rows: BudgetRows,
     pub open_batch: Option<Batch>,
     pub latest_settlement: SettlementResult,
     last_tick: Instant,
-    /// Counts the accounts that this process had: another router may close one.
+    /// The number of accounts of this process that other gateways have closed.
     pub generation: u64,
-    /// The notes that bind this generation.
+    /// The usage notes that apply to the current account.
     pub notes: Notes,
 }
 
 impl BudgetState {
-    /// A budget without tokens.
+    /// Creates the state of a budget without tokens.
     pub(crate) fn new(level: Level, record_ms: u64) -> BudgetState {
         let started = Instant::now();
         BudgetState {
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Whether the other routers should be asked for idle tokens now. If so, records the time of the call.
+    /// Whether to send a recall to the other gateways now. If so, records its time.
     pub(crate) fn try_start_recall(&mut self, now: u64, writers: u64) -> bool {
         let is_due = !self.has_recent_recall(now, writers);
         if is_due {
@@ -140,38 +144,39 @@
         is_due
     }
 
-    /// Whether the latest known call for idle tokens is too recent for another one.
+    /// Whether the last known recall is too recent for another one.
     pub(crate) fn has_recent_recall(&self, now: u64, writers: u64) -> bool {
         let again = RECALL_INTERVAL_MS.max(writers * RECALL_INTERVAL_PER_WRITER_MS);
         self.last_recall_ms.is_some_and(|asked_ms| now.saturating_sub(asked_ms) < again)
     }
 
-    /// Whether nothing is held, in use or unsettled.
+    /// Whether no tokens are held, in use or waiting to be settled.
     pub(crate) fn is_empty(&self) -> bool {
         self.open_batch.is_none() && self.grant.in_use() == 0 && self.grant.available() == 0
     }
 
-    /// Reserves tokens, if they are at hand and within what was noted.
+    /// Reserves tokens if this gateway holds them and its notes allow their use.
     pub(crate) fn reserve(&mut self, tokens: u64) -> bool {
         !self.exceeds_note_limit(tokens) && self.grant.reserve(tokens) == Reserve::Held
     }
 
-    /// Whether the notes leave no room for so many tokens.
+    /// Whether using `tokens` more would exceed the limit of the notes.
     pub(crate) fn exceeds_note_limit(&self, tokens: u64) -> bool {
         self.grant.used().saturating_add(tokens) > self.note_limit()
     }
 
-    /// The most that may be used now.
+    /// The highest use that the notes allow now.
     pub(crate) fn note_limit(&self) -> u64 {
         self.notes.limit(self.now())
     }
 
-    /// Milliseconds since the budget was opened, from 1: 0 means never.
+    /// Milliseconds since the budget was opened, starting at 1; 0 stands for "never".
     pub(crate) fn now(&self) -> u64 {
         self.started.elapsed().as_millis() as u64 + 1
     }
 
-    /// The schedule for the next note, which takes about `note_ms` to be acknowledged, where so many gateways own the budget.
+    /// The schedule of the next note, which takes about `note_ms` to be acknowledged. `owners` is the number
+    /// of gateways that own the budget.
     pub(crate) fn schedule(&self, note_ms: u64, owners: u64) -> Schedule {
         Schedule::plan(&Outlook {
             used: self.grant.used(),
@@ -185,7 +190,7 @@
         })
     }
 
-    /// Takes what was used in the last `elapsed_ms` milliseconds into the averages.
+    /// Updates the averages with the use of the last `elapsed_ms` milliseconds.
     fn update_averages(&mut self, elapsed_ms: u64) {
         let used = self.grant.used();
         self.use_growth.consume(used.saturating_sub(self.max_used));
@@ -195,7 +200,7 @@
         self.last_tick = Instant::now();
     }
 
-    /// Why tokens can't be had, if the latest settlement showed that.
+    /// Why `tokens` can't be reserved, if the latest settlement shows that.
     pub(crate) fn denial_reason(&self, tokens: u64) -> Option<DenialReason> {
         let latest = &self.latest_settlement;
         if !latest.succeeded || latest.pool_free + self.grant.available() + self.grant.returning() >= tokens {
@@ -207,47 +212,51 @@
         Some(if left < tokens + idle { DenialReason::Spent } else { DenialReason::Elsewhere })
     }
 
-    /// Tokens that should be at hand: this router's share of what is left, so that it serves through a cut or an
-    /// outage of the store, but none of a budget that is nearly spent, where every token must be reachable from
-    /// everywhere. One that does not own the budget holds only what its own requests used lately: it drew while the
-    /// owner did not answer.
+    /// The number of available tokens that this gateway should have: its share of what is left, so that it
+    /// can serve requests during a network partition or an outage of the store. Zero if the budget is nearly
+    /// spent, since then every token has to be within reach of every gateway. A gateway that does not own the
+    /// budget has drawn tokens only because its owners did not answer, and holds what its own requests used
+    /// recently.
     fn target_tokens(&self, now: u64, team: &str, terms: &Terms, owners: u64) -> u64 {
         let left = self.unspent() as f64;
-        if left < self.level.tokens as f64 * SCARCE_RATIO {
+        if left < self.level.tokens as f64 * NEARLY_SPENT_RATIO {
             return 0;
         }
         let max_held = left * MAX_HELD_RATIO;
         let share = if owners == 0 { 0.0 } else { self.use_share(team, owners) };
         let target = self.demand.target(now, terms).min(max_held as u64).max((max_held * share) as u64);
         match self.rows.pool.wanted {
-            // What is free is for those that wait.
+            // Free tokens are left to the requests that wait for them.
             true => self.kept(target).min(self.grant.available()),
             false => target,
         }
     }
 
-    /// What this router keeps of its idle tokens if another is short of so many.
+    /// The idle tokens that this gateway keeps if another one lacks `missing` tokens.
     fn kept_after_recall(&self, missing: u64) -> u64 {
         let idle = self.grant.available();
         self.kept(idle).min(idle.saturating_sub(missing))
     }
 
-    /// What a router keeps of so many tokens if others need some: less, the less is left of the budget.
+    /// The part of `tokens` that a gateway keeps if others need some: the less of the budget is left, the
+    /// smaller.
     fn kept(&self, tokens: u64) -> u64 {
-        (tokens as f64 * MAX_KEPT_RATIO * self.kept_ratio_scale()) as u64
+        (tokens as f64 * MAX_KEPT_RATIO * self.abundance()) as u64
     }
 
-    /// What is left of the budget in the pool and at all routers, as far as this one knows.
+    /// The tokens of the budget that are not spent, in the pool and on all gateways, as far as this gateway
+    /// knows.
     fn unspent(&self) -> u64 {
         self.level.tokens.saturating_sub(self.rows.pool.spent)
     }
 
-    /// How plentiful the budget is, from 0 to 1.
-    fn kept_ratio_scale(&self) -> f64 {
-        (self.unspent() as f64 / (self.level.tokens as f64 * PLENTIFUL_RATIO).max(1.0)).min(1.0)
+    /// From 0 for a spent budget to 1 for one that is not scarce.
+    fn abundance(&self) -> f64 {
+        (self.unspent() as f64 / (self.level.tokens as f64 * SCARCE_BELOW_RATIO).max(1.0)).min(1.0)
     }
 
-    /// This router's share of the owners' use so far: requests of a team keep coming to the same routers.
+    /// This gateway's share of the use of all owners so far. It predicts future use, since the requests of a
+    /// team keep arriving at the same gateways.
     fn use_share(&self, team: &str, owners: u64) -> f64 {
         let own = self.rows.account.lines.get(team).map_or(0, |line| line.spent) + self.earlier_use;
         let prior = (self.level.tokens as f64 * PRIOR_USE_RATIO).max(1.0);
@@ -255,7 +264,7 @@
         (own as f64 + prior) / all
     }
 
-    /// Opens the next batch, or takes up the one that is on its way.
+    /// Opens the next batch if one is due, or returns the one that is already open.
     pub(crate) fn next_batch(&mut self, team: &str, now: u64, closing: bool, owners: u64) -> Option<Batch> {
         if let Some(batch) = &self.open_batch {
             return Some(batch.clone());
@@ -272,7 +281,7 @@
                 None => target,
             },
         };
-        // What waiting requests are about to reserve is no excess.
+        // Tokens that waiting requests are about to reserve are not excess.
         let target = target.max(self.waiting_tokens.min(self.grant.available()));
         let need = self.waiting_tokens.saturating_sub(self.grant.usable());
         let is_off = is_off_target(self.grant.available(), target, Some(self.latest_settlement.pool_free));
@@ -294,14 +303,15 @@
         Some(batch)
     }
 
-    /// Ends the open batch: the account's row shows it.
+    /// Closes the open batch, which the account row now contains.
     pub(crate) fn close_batch(&mut self, team: &str) {
         self.open_batch = None;
         let line = self.rows.account.lines.get(team).copied().unwrap_or_default();
         self.grant.close(&line);
     }
 
-    /// Starts an account anew after another router closed this one: what it exposed stays spent.
+    /// Starts a new account after another gateway closed the current one. What that one exposed does not
+    /// return to the pool.
     pub(crate) fn reset_account(&mut self) {
         self.generation += 1;
         self.notes = Notes::default();
--- a/crates/gateway/src/closing.rs
+++ b/crates/gateway/src/closing.rs
@@ -1,4 +1,5 @@
-//! Closing the accounts of routers that are gone, and giving back what they can't have used.
+//! Closes the accounts of gateways that are gone, and returns the tokens that these can't have used to the
+//! pool.
 
 use crate::settle::conflict_backoff;
 use crate::table::{ACCOUNT, BUDGETS, POOL, decode, encode};
@@ -8,37 +9,38 @@
 use store::rows::{Change, Commit, Key, Record, Rows};
 use store::{Error, Fault};
 
-/// Attempts at one account while other routers change the pool. After a kill of all of them they do so together, and
-/// what is not closed stays out of use: so many attempts fail only if the store is overrun.
+/// Attempts to close one account while other gateways write the pool row. If all gateways were killed, they
+/// restart and do so at the same time, and the tokens of an account that is not closed stay unusable. With
+/// this many attempts, closing fails only if the store is overloaded.
 const ATTEMPTS: u32 = 24;
 
-/// What is known of the use of an account that its line does not show.
+/// What is known about the use of an account beyond the line in its row.
 pub(crate) trait Exposure {
-    /// The most that the account's holder may have used beyond its line.
+    /// The most tokens that the account's holder may have used beyond its line.
     fn exposed(&self, team: &str, account: &str, line: &Line) -> u64;
 
-    /// How old the note was that says so, and the limit that it set by then; `None` without a note.
+    /// The usage note that `exposed` is based on; `None` if there is none.
     fn note_summary(&self, team: &str, account: &str) -> Option<NoteSummary>;
 }
 
-/// What the last note of a dead gateway said, for the log.
+/// The last usage note of a dead gateway, for the log.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NoteSummary {
-    /// Its age at the death, in milliseconds.
+    /// The age of the note when the gateway died, in milliseconds.
     pub age_ms: u64,
-    /// Tokens used when it was made.
+    /// Tokens used when the note was made.
     pub used: u64,
-    /// Tokens of these that requests which had ended were charged.
+    /// The part of `used` that was charged to requests that had ended.
     pub charged: u64,
-    /// Tokens that may have been used by the death.
+    /// The most tokens that the note allowed the gateway to use until it died.
     pub limit: u64,
 }
 
-/// Closes the accounts of a team whose holders are gone; returns the tokens that they are known to have spent, `None`
-/// if they have no account.
+/// Closes the accounts of a team whose holders are gone. Returns the tokens that these have spent according
+/// to their rows; `None` if they have no account.
 ///
 /// # Errors
-/// Fails if the store does; calling it again goes on.
+/// Fails if the store does. A further call closes the accounts that are left.
 pub(crate) async fn close_accounts<S: Rows>(
     rows: &S,
     team: &str,
--- a/crates/gateway/src/settle.rs
+++ b/crates/gateway/src/settle.rs
@@ -1,7 +1,7 @@
-//! Settling a budget with the store.
+//! Settlement of a budget with the store.
 //!
-//! A settlement writes the pool row and this router's account row under the condition that they are as last
-//! seen, so a write whose answer was lost is recognised by the account's sequence, however late it took effect.
+//! A settlement writes the pool row and this gateway's account row under the condition that both are as last
+//! seen. If the answer to a write is lost, the account's sequence shows later whether it took effect.
 
 use crate::budget_state::{BudgetRows, SettlementResult};
 use crate::table::{ACCOUNT, BUDGETS, POOL, RECALLS, Recall, decode_or_default, encode};
@@ -15,25 +15,30 @@
 use store::rows::{Change, Commit, Key, Record, Rows};
 use store::{Error, Fault};
 
-/// The pause between settlements while nothing is urgent.
+/// The interval between settlements while nothing is urgent.
 pub(crate) const SETTLE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The pause after a settlement failed, in milliseconds. It doubles with each failure in a row.
+/// The longest delay after a failed settlement, in milliseconds. It doubles with each further failure in a
+/// row.
 const RETRY_DELAY_MS: u64 = 250;
-/// The longest such pause in a small fleet, in milliseconds: a store that is back should be noticed soon.
+/// The bound on this delay in a small fleet, in milliseconds: gateways should notice soon that the store is
+/// available again.
 const MAX_RETRY_DELAY_MS: u64 = 500;
-/// The longest such pause for each gateway that settles the budget, in milliseconds: when a whole fleet does, its
-/// partition takes about 200 writes a second in turn, and each conflict costs another.
+/// The bound on this delay for each gateway that settles the budget, in milliseconds. If the whole fleet
+/// does, the budget's partition takes about 200 writes per second one after another, and each conflict costs
+/// a further write.
 const RETRY_DELAY_PER_WRITER_MS: u64 = 50;
 /// Attempts at one batch before the settlement counts as failed.
 const ATTEMPTS: u32 = 8;
-/// The longest pause after the first conflict, in milliseconds: the order of a transaction. It doubles with each.
+/// The longest backoff after the first conflict, in milliseconds: the order of magnitude of a transaction's
+/// duration. It doubles with each further conflict.
 const BACKOFF_MS: u64 = 4;
-/// The longest pause after a conflict in a small fleet, in milliseconds.
+/// The bound on the backoff in a small fleet, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 60;
-/// The longest pause after a conflict for each gateway that settles the budget, in milliseconds: about a transaction.
+/// The bound on the backoff for each gateway that settles the budget, in milliseconds: about the duration of
+/// a transaction.
 const BACKOFF_PER_WRITER_MS: u64 = 5;
 
-/// Settles a budget whenever something is due.
+/// Settles a budget at intervals and on request, until it is retired and empty.
 pub(crate) async fn run<S: Rows>(budget: Arc<TeamBudget>, rows: S, requests: async_channel::Receiver<()>) {
     let mut failures = 0;
     loop {
@@ -114,15 +119,15 @@
     Outcome::Failed
 }
 
-/// The pause after a settlement failed for the `failures + 1`st time in a row: random in its upper half, so that
-/// gateways which were refused together do not come back together.
+/// The delay after `failures + 1` failed settlements in a row. Its upper half is random, so that gateways
+/// whose writes were refused at the same time do not retry at the same time.
 pub(crate) fn retry_delay(failures: u32, writers: u64) -> Duration {
     let most = MAX_RETRY_DELAY_MS.max(writers * RETRY_DELAY_PER_WRITER_MS);
     let longest = RETRY_DELAY_MS.saturating_mul(1 << failures.min(8)).min(most);
     Duration::from_millis(rand::Rng::gen_range(&mut rand::thread_rng(), longest / 2..=longest))
 }
 
-/// The pause after a conflict: random, so that routers which met do not meet again.
+/// The delay after a conflict. It is random, so that the gateways that conflicted do not conflict again.
 pub(crate) fn conflict_backoff(round: u32, writers: u64) -> Duration {
     let first = BACKOFF_MS.max(writers * BACKOFF_PER_WRITER_MS / 16);
     let most = (first << round.min(16)).min(MAX_BACKOFF_MS.max(writers * BACKOFF_PER_WRITER_MS));
@@ -135,7 +140,7 @@
     Closed,
 }
 
-/// Tries a batch once on the rows as last seen, and learns them anew if they changed.
+/// Tries to commit a batch once, based on the rows as last seen, and updates these if they have changed.
 async fn attempt<S: Rows>(budget: &TeamBudget, rows: &S, batch: &Batch) -> Result<AttemptOutcome, Error> {
     let known = budget.lock().rows.is_current;
     if !known {
@@ -202,17 +207,18 @@
 }
 
 impl TeamBudget {
+    /// The name of this process's account row; `life` is the generation of the account.
     pub(crate) fn account_name(&self, life: u64) -> String {
         format!("{ACCOUNT}{}.{life}", self.holder)
     }
 
-    /// Takes in rows of this budget as they were read.
+    /// Updates the rows of this budget from the store's records, as far as these are not older.
     fn update_rows(&self, records: &[Record]) {
         let mut state = self.lock();
         let account_name = self.account_name(state.generation);
         for record in records {
             if record.name == POOL && record.version >= state.rows.pool_version {
-                // An unreadable row keeps the old version, so that it is never overwritten.
+                // An unreadable row keeps its old version, so no write can replace it.
                 let Some(pool) = decode_or_default(record) else { continue };
                 state.rows.pool = pool;
                 state.rows.pool_version = record.version;
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -1,28 +1,28 @@
-//! The rows of budgets in the store: their places and contents.
+//! The names and contents of the rows that budgets have in the store.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use store::rows::Record;
 
-/// The table of pools and accounts; each team has a partition of its own.
+/// The table of pool and account rows; each team has its own partition.
 pub(crate) const BUDGETS: &str = "budgets";
-/// The key of the pool row.
+/// The name of the pool row.
 pub(crate) const POOL: &str = "pool";
-/// What the keys of account rows begin with.
+/// The prefix of the names of account rows.
 pub(crate) const ACCOUNT: &str = "account/";
-/// The table in which routers ask the others for idle tokens; a row's key is the team, its value a [`Recall`].
+/// The table of recalls. Each row is named after a team and contains a [`Recall`].
 pub(crate) const RECALLS: &str = "recalls";
-/// The table of notes; each VM has a partition of its own.
+/// The table of usage notes; each VM has its own partition.
 pub(crate) const NOTES: &str = "notes";
-/// The key of the note row.
+/// The name of the row that contains a VM's usage note.
 pub(crate) const NOTE: &str = "note";
 
-/// A router's call for idle tokens.
+/// A request to all other gateways to return idle tokens of a team's budget.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct Recall {
-    /// Who asks: the VM with the incarnation of its process.
+    /// The requesting process: the name of its VM and its incarnation.
     pub holder: String,
-    /// How many tokens its waiting requests are short of.
+    /// The number of tokens that its waiting requests lack.
     pub missing: u64,
 }
 
@@ -30,7 +30,7 @@
     serde_json::to_vec(value).expect("rows serialize to JSON")
 }
 
-/// The content of a row, or that of a row which does not exist yet; `None` if it can't be read.
+/// The content of a row, or the default if the row does not exist; `None` if it can't be parsed.
 pub(crate) fn decode_or_default<T: Default + DeserializeOwned>(record: &Record) -> Option<T> {
     if record.value.is_none() { Some(T::default()) } else { decode(record) }
 }
--- a/crates/gateway/src/team_budget.rs
+++ b/crates/gateway/src/team_budget.rs
@@ -1,7 +1,8 @@
-//! The budgets that this router draws on: what it holds of them, and what is reserved.
+//! The token budgets of teams on this gateway: the tokens that it holds and reserves.
 //!
-//! Tokens are reserved within three bounds: those at hand, those that the account row exposes, and those that
-//! the router noted it may use before its next note (`notes`).
+//! A reservation has to stay within three bounds: the tokens that this gateway holds, the tokens that its
+//! account row in the store exposes, and the use that its last usage note allows until the next one (see
+//! `notes`).
 
 use crate::budget_state::{BudgetState, DenialReason};
 use crate::peer_reservations::RemoteReservation;
@@ -15,29 +16,32 @@
 use std::time::Duration;
 use store::rows::Rows;
 
-/// How long the pool's emptiness is believed, in milliseconds: tokens come back as other routers settle.
+/// How long the result of a settlement suffices to deny a request, in milliseconds. Short, because tokens
+/// return to the pool as other gateways settle.
 const DENIAL_REUSE_MS: u64 = 250;
 
-/// How long other routers take to give idle tokens back once they are asked.
+/// How long a request waits for other gateways to return idle tokens after a recall.
 const RECALL_WAIT: Duration = Duration::from_millis(40);
 
-/// Fleets up to this size answer a call for tokens at once: their writes fit into the time that the caller waits.
+/// Up to this number of gateways, all respond to a recall at once: the store completes their writes while the
+/// caller waits.
 const SMALL_FLEET: u64 = 12;
-/// The time over which a larger fleet spreads its answers, for each router beyond that, in milliseconds: about a
-/// transaction.
+/// A larger number of gateways spreads its responses over this time for each gateway beyond [`SMALL_FLEET`],
+/// in milliseconds: about the duration of a transaction in the store.
 const RECALL_SPREAD_MS: u64 = 6;
-/// How often a waiting request looks whether the limit of the notes has grown enough.
+/// How often a waiting request checks whether the note limit has grown enough.
 const LIMIT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// When a refused request should come back while the store is away: outages last for some seconds.
+/// When callers of denied requests should retry while the store is unavailable, in milliseconds: outages last
+/// for some seconds.
 const RETRY_STORE_DOWN_MS: u64 = 3_000;
-/// When it should come back if other routers hold the tokens: they give them back within a settlement or two, or the
-/// operator tops the budget up.
+/// When they should retry if other gateways hold the tokens, in milliseconds: these return them within one or
+/// two settlements, or the operator raises the level.
 const RETRY_HELD_ELSEWHERE_MS: u64 = 4_000;
-/// The resolution with which the growth of a note's limit is told, in milliseconds.
+/// The step in which the growth of the note limit is predicted, in milliseconds.
 const RETRY_STEP_MS: u64 = 200;
 
-/// One team's budget as this router holds it.
+/// One team's budget on this gateway.
 #[derive(Debug)]
 pub(crate) struct TeamBudget {
     pub team: String,
@@ -48,44 +52,44 @@
     note_requests: async_channel::Sender<()>,
     pub retired: AtomicBool,
     pub fleet_size: Arc<AtomicU64>,
-    /// How many gateways own this budget, this one among them; 0 if others own it.
+    /// The number of gateways that own this budget, including this one; 0 if only others own it.
     pub owners: AtomicU64,
 }
 
-/// Where the tokens of a budget are, as one gateway knows it.
+/// The tokens of a budget by state, as far as this gateway knows.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenCounts {
-    /// Held here, and not reserved.
+    /// Held by this gateway and not reserved.
     pub available: u64,
-    /// LocalReservation here.
+    /// Held by this gateway and reserved, or charged but not settled yet.
     pub in_use: u64,
-    /// Of the pool, in no gateway's hands.
+    /// In the pool, held by no gateway.
     pub free: u64,
-    /// Of the pool, held by all gateways, or written off with dead ones.
+    /// Held by any gateway, or stranded in the accounts of dead ones.
     pub outstanding: u64,
-    /// Charged, by all gateways.
+    /// Charged by all gateways.
     pub spent: u64,
-    /// Prepaid.
+    /// The prepaid total.
     pub level: u64,
 }
 
-/// What a budget is opened with.
+/// The parameters of [`TeamBudget::open`].
 pub(crate) struct BudgetOptions {
-    /// The VM with the incarnation of this process.
+    /// The name of the VM and the incarnation of this process.
     pub holder: String,
-    /// How many gateways the fleet has.
+    /// The number of gateways in the fleet.
     pub fleet_size: Arc<AtomicU64>,
-    /// How many of them own the budget, this one among them.
+    /// The number of gateways that own the budget, including this one; 0 if only others own it.
     pub owners: u64,
-    /// Where a new note is asked for.
+    /// Wakes the task that writes usage notes.
     pub note_requests: async_channel::Sender<()>,
-    /// How long charges may wait for a settlement, in milliseconds.
+    /// The longest time for which charges may wait for a settlement, in milliseconds.
     pub record_ms: u64,
 }
 
 impl TeamBudget {
-    /// Opens a budget without tokens, starts its settlement, and has it noted: without a note, the death of this
-    /// process would cost all that it drew.
+    /// Opens a budget without tokens, starts its settlement task and requests a usage note. Until the first
+    /// note is written, a crash of this process would strand all tokens that it drew.
     pub(crate) fn open<S: Rows>(
         rows: &S,
         team: &str,
@@ -114,12 +118,12 @@
         self.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Milliseconds since the budget was opened, from 1: 0 means never.
+    /// Milliseconds since the budget was opened, starting at 1; 0 stands for "never".
     pub(crate) fn now(&self) -> u64 {
         self.lock().now()
     }
 
-    /// Takes in what a manifest says of the prepaid total.
+    /// Sets the prepaid total, unless the current one comes from the same manifest or a newer one.
     pub(crate) fn set_level(&self, level: Level) {
         let mut state = self.lock();
         if level.version <= state.level.version {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Reserves the worst case of a request, waiting at most `timeout` for the store.
+    /// Reserves the worst-case cost of a request, waiting for tokens for at most `timeout`.
     pub(crate) async fn reserve(
         self: &Arc<TeamBudget>,
         tokens: u64,
@@ -155,7 +159,8 @@
             }
             let is_fresh = now.saturating_sub(state.latest_settlement.began_ms) < DENIAL_REUSE_MS;
             let is_conclusive = |denied: &DenialReason| match denied {
-                // A settlement without waiting requests, such as the opening one, sends no call for tokens.
+                // Not every settlement sends a recall: the one that opens the budget, for example, has no
+                // waiting requests.
                 DenialReason::Elsewhere => state.has_recent_recall(now, self.writers()),
                 DenialReason::Spent | DenialReason::Away => true,
             };
@@ -177,8 +182,8 @@
         })
     }
 
-    /// Waits for a settlement with a higher number than `begun` to bring the tokens, or to show that they can't
-    /// be had.
+    /// Waits until the tokens can be reserved, or until a settlement with a number above `begun` shows that
+    /// they can't.
     async fn wait_for_tokens(
         self: &Arc<TeamBudget>,
         tokens: u64,
@@ -192,7 +197,8 @@
                 if state.reserve(tokens) {
                     return Ok(Reservation::local(self, state.generation, tokens));
                 }
-                // Only what binds is renewed, and only when that is new: each call to the store is paid for.
+                // Requests only the write that the reservation lacks, and one settlement until the next
+                // recall, since each call to the store has a cost.
                 if state.exceeds_note_limit(tokens) {
                     let _ = self.note_requests.try_send(());
                 }
@@ -208,7 +214,7 @@
             };
             match denied {
                 Some(DenialReason::Elsewhere) => {
-                    // The other routers were told; what they give back is there soon.
+                    // The settlement has recalled the idle tokens of other gateways, which return them soon.
                     exec::sleep(RECALL_WAIT).await;
                     begun = self.lock().settlements_begun;
                     is_settlement_due = true;
@@ -221,14 +227,14 @@
         }
     }
 
-    /// Takes in what earlier processes of this VM are known to have used: it says how much this one will need.
+    /// Sets the tokens that earlier processes of this VM used. They predict how many this process will need.
     pub(crate) fn set_earlier_use(&self, tokens: u64) {
         self.lock().earlier_use = tokens;
         let _ = self.settle_requests.try_send(());
     }
 
-    /// How many gateways settle this budget: its owners, or all of them where others own it, since all draw on it when its
-    /// owners do not answer.
+    /// The number of gateways that settle this budget and so write its pool row: its owners, or the whole
+    /// fleet if only other gateways own it, since all of them draw on it while its owners do not answer.
     pub(crate) fn writers(&self) -> u64 {
         match self.owners.load(Ordering::Relaxed) {
             0 => self.fleet_size.load(Ordering::Relaxed).max(1),
@@ -236,8 +242,8 @@
         }
     }
 
-    /// Gives idle tokens back: another router is short of so many. In a large fleet the answers are spread over some time, since
-    /// each is a write to the same partition.
+    /// Returns idle tokens because another gateway lacks `missing` tokens. In a large fleet the gateways
+    /// spread their responses over time, since each is a write to the same partition.
     pub(crate) fn recall(self: &Arc<TeamBudget>, missing: u64) {
         {
             let mut state = self.lock();
@@ -262,7 +268,7 @@
         .detach();
     }
 
-    /// When so many tokens may be had, in milliseconds from now.
+    /// The time after which `tokens` may be available, in milliseconds from now.
     pub(crate) fn retry_after_ms(&self, tokens: u64) -> u64 {
         let state = self.lock();
         if state.grant.available() < tokens {
@@ -278,7 +284,7 @@
         ready.into_iter().find(|ms| state.notes.limit(now + ms) >= wanted).unwrap_or(RETRY_STORE_DOWN_MS)
     }
 
-    /// What decides on a reservation of so many tokens, for the log.
+    /// The state that decides on a reservation of `tokens`, for the log.
     pub(crate) fn explain(&self, tokens: u64) -> String {
         let now = self.now();
         let state = self.lock();
@@ -299,7 +305,6 @@
         )
     }
 
-    /// What is known of the budget's tokens.
     pub(crate) fn token_counts(&self) -> TokenCounts {
         let state = self.lock();
         TokenCounts {
@@ -312,13 +317,14 @@
         }
     }
 
-    /// Gives idle tokens back from now on; requests may still draw what they need.
+    /// Returns idle tokens from now on; requests may still draw what they need.
     pub(crate) fn retire(&self) {
         self.retired.store(true, Ordering::Relaxed);
         let _ = self.settle_requests.try_send(());
     }
 
-    /// Settles everything and gives unused tokens back, within `limit`.
+    /// Retires the budget and waits for at most `limit` until everything is settled and all unused tokens are
+    /// returned.
     pub(crate) async fn close(&self, limit: Duration) {
         self.retire();
         let settled = async {
@@ -342,7 +348,7 @@
     }
 }
 
-/// Counts a request that waits for tokens.
+/// Counts the tokens of a waiting request until it is dropped.
 struct WaitGuard<'a> {
     budget: &'a TeamBudget,
     tokens: u64,
@@ -361,16 +367,16 @@
     }
 }
 
-/// Tokens set aside for one request, until it is charged or dropped.
+/// Tokens reserved for one request, until they are charged or the reservation is dropped.
 #[derive(Debug)]
 pub(crate) enum Reservation {
-    /// At this gateway.
+    /// Reserved from the tokens of this gateway.
     Local(LocalReservation),
-    /// At the gateway that owns the team's budget.
+    /// Reserved by a gateway that owns the team's budget.
     Remote(RemoteReservation),
 }
 
-/// Tokens of this gateway that are set aside.
+/// A reservation from the tokens of this gateway.
 #[derive(Debug)]
 pub(crate) struct LocalReservation {
     budget: Arc<TeamBudget>,
@@ -391,7 +397,7 @@
         }
     }
 
-    /// Charges all that was reserved: nobody knows what was used.
+    /// Charges all reserved tokens, because the actual use is unknown.
     pub(crate) fn charge_all(self, request: &str) {
         match self {
             Reservation::Local(reserved) => {
@@ -428,9 +434,11 @@
 }
 
 impl TeamBudget {
-    /// Makes the schedule for a note that is about to be sent; it binds from now on.
+    /// Plans the schedule of a usage note that is about to be sent; it applies from now on. Returns the
+    /// account's generation with it.
     ///
-    /// `note_ms` is how long a note takes to be acknowledged, `owners` how many gateways own the budget.
+    /// `note_ms` is how long a note takes to be acknowledged, `owners` the number of gateways that own the
+    /// budget.
     pub(crate) fn begin_note(&self, note_ms: u64, owners: u64) -> (u64, Schedule) {
         let mut state = self.lock();
         let schedule = state.schedule(note_ms, owners);
@@ -439,8 +447,8 @@
         (state.generation, schedule)
     }
 
-    /// Takes in how the newest note ended: `Some(true)` if it took effect, `Some(false)` if it certainly did not,
-    /// `None` if that is not known.
+    /// Records the outcome of the latest note: `Some(true)` if it was written, `Some(false)` if it certainly
+    /// was not, `None` if that is unknown.
     pub(crate) fn end_note(&self, generation: u64, took_effect: Option<bool>) {
         let mut state = self.lock();
         if state.generation != generation {
