--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -1,7 +1,8 @@
-//! Notes of use: what this router used of each budget, and how much more it may use before the next note.
+//! Usage notes: how much this gateway has used of each budget, and how much more it may use before its next
+//! note.
 //!
-//! A note is a row of this VM alone, written under the condition that it is as last seen. When the VM starts
-//! again, the new process reads it and gives back what the old one can't have used.
+//! A note is a row that only this VM writes, under the condition that it is as last seen. When the VM's
+//! gateway restarts, the new process reads the note and returns what the old process can't have used.
 
 use crate::closing::{Exposure, NoteSummary, close_accounts};
 use crate::manifest::{Manifest, Team};
@@ -22,34 +23,37 @@
 use store::rows::{Change, Commit, Key, Rows};
 use store::{Error, Fault};
 
-/// Time between two notes in a small fleet: what is used meanwhile is lost with the process, and a note is one small write.
+/// The interval between two notes in a small fleet, in milliseconds. What a process may have used since its
+/// last note is lost when it dies, and a note is a single small write.
 const MIN_INTERVAL_MS: u64 = 200;
-/// The part of the store's writes that the whole fleet's notes take at most. An old note costs tokens at a death, and room
-/// in an outage.
+/// The largest fraction of the store's writes that the notes of the whole fleet take. The older a note is,
+/// the more tokens are lost when its process dies, and the less may still be used during an outage.
 const NOTE_WRITES_RATIO: f64 = 0.125;
-/// The pause between two teams whose accounts are closed although no note names them, for each gateway of the fleet, in
-/// milliseconds: all gateways together read 50 teams a second at most.
+/// The delay before closing the accounts of each team that the previous note does not name, for each gateway
+/// of the fleet, in milliseconds. All gateways together read at most 50 teams per second.
 const CLOSE_DELAY_PER_GATEWAY_MS: u64 = 20;
-/// The pause after a call failed.
+/// The delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The weight of a shorter time in the time that a note takes; a longer one counts at once.
+/// The weight of a shorter duration in the average duration of a write; a longer one replaces the average.
 const DECREASE_WEIGHT: f64 = 0.3;
-/// The pause before the first manifest is looked for again.
+/// The interval at which a starting gateway checks whether it has a manifest.
 const MANIFEST_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a router noted.
+/// A usage note.
 #[derive(Debug, Default, Deserialize, Serialize)]
 struct Note {
-    /// A moment not after the note was sent, in milliseconds of the store's clock.
+    /// A time at which the note was not sent yet, or was just being sent, in milliseconds of the store's
+    /// clock.
     at: u64,
-    /// The schedules by team and account: a router's accounts have the same name in each team's partition.
+    /// The schedules by team and account: the accounts of a gateway have the same name in the partition of
+    /// each team.
     budgets: BTreeMap<String, BTreeMap<String, Schedule>>,
 }
 
-/// What the earlier generation of this VM's process noted.
+/// The last usage note of the previous process on this VM.
 struct PreviousNote {
     note: Note,
-    /// A moment after its death, in milliseconds of the store's clock.
+    /// A time at which that process was certainly dead, in milliseconds of the store's clock.
     dead_by_ms: u64,
 }
 
@@ -67,7 +71,7 @@
     fn exposed(&self, team: &str, account: &str, line: &Line) -> u64 {
         match self.schedule(team, account) {
             Some(schedule) => schedule.exposed(line, self.age_ms()),
-            // It had not noted anything yet, so nothing bounded it.
+            // The process died before it noted this account, so only the account's line limited its use.
             None => line.exposed,
         }
     }
@@ -80,7 +84,7 @@
     }
 }
 
-/// Closes what earlier lives of this VM's process left, then keeps this generation's notes.
+/// Closes the accounts of earlier processes of this VM, then writes the usage notes of this one.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>, requests: Receiver<()>) {
     let manifest = first_manifest(&node).await;
     let mut recovery = Recovery::default();
@@ -99,11 +103,11 @@
     let mut latency = WriteLatency::default();
     loop {
         let _ = exec::timeout(Duration::from_millis(interval_ms(&node)), requests.recv()).await;
-        let purses: Vec<Arc<TeamBudget>> = node.purses().values().cloned().collect();
-        if purses.is_empty() {
+        let open_budgets: Vec<Arc<TeamBudget>> = node.purses().values().cloned().collect();
+        if open_budgets.is_empty() {
             continue;
         }
-        match write(&node, &purses, &mut version, &mut latency).await {
+        match write(&node, &open_budgets, &mut version, &mut latency).await {
             Ok(()) => {}
             Err(error) => {
                 log::warn!("budget: event=not-noted {error}");
@@ -113,8 +117,8 @@
     }
 }
 
-/// Closes what is left to close, slowly: a fleet that starts again would otherwise read each team's accounts in each
-/// gateway at once.
+/// Closes the remaining accounts slowly: otherwise each gateway of a restarting fleet would read the accounts
+/// of every team at the same time.
 async fn close_remaining<W: Wire, S: Rows>(
     node: Arc<Node<W, S>>,
     manifest: Arc<Manifest>,
@@ -133,34 +137,36 @@
     }
 }
 
-/// Time between two notes, in milliseconds: only gateways that own a budget write them all the time.
+/// The interval between two notes, in milliseconds. It depends on the number of owners, since only gateways
+/// that own a budget write notes all the time.
 fn interval_ms<W: Wire, S: Rows>(node: &Node<W, S>) -> u64 {
     let per_s = node.settings.store_writes_per_s as f64 * NOTE_WRITES_RATIO;
     MIN_INTERVAL_MS.max((node.owners.total_owners() as f64 * 1_000.0 / per_s) as u64)
 }
 
-/// Closing the accounts of this VM's earlier processes, which are certainly dead, and opening the budgets that they used:
-/// their teams will come again, maybe during a cut.
+/// Closes the accounts of earlier processes of this VM, which are certainly dead, and opens the budgets that
+/// these used: their teams are expected to send further requests, perhaps during a network partition.
 #[derive(Default)]
 pub(crate) struct Recovery {
-    /// The note, and its row's version.
-    last: Option<(PreviousNote, u64)>,
-    /// The teams whose accounts are closed: when a whole fleet starts again, the store refuses many calls, and what is
-    /// done need not be done again.
+    /// The previous note, and the version of its row.
+    previous: Option<(PreviousNote, u64)>,
+    /// The teams whose accounts are closed. While a whole fleet restarts, the store refuses many calls; a
+    /// retry skips these teams.
     closed: HashSet<String>,
 }
 
-/// What is left of a recovery.
+/// The progress of a recovery.
 pub(crate) enum Progress {
-    /// One more team's accounts are closed.
+    /// The accounts of one more team are closed.
     Closed,
-    /// All are.
+    /// No accounts are left to close.
     Done,
 }
 
 impl Recovery {
-    /// Closes the accounts of the teams that the last note names, going on where it failed; returns the version of the
-    /// note's row once all is done. Nearly all that an earlier process held is in these.
+    /// Closes the accounts of the teams that the previous note names, which hold nearly all tokens of the
+    /// earlier processes. After an error, a further call continues with the teams that are left. Returns the
+    /// version of the note's row.
     ///
     /// # Errors
     /// Fails if the store does.
@@ -169,8 +175,8 @@
         node: &Node<W, S>,
         manifest: &Manifest,
     ) -> Result<u64, Error> {
-        let (last, version) = self.last(node).await?;
-        let noted: Vec<String> = last.note.budgets.keys().cloned().collect();
+        let (previous, version) = self.previous(node).await?;
+        let noted: Vec<String> = previous.note.budgets.keys().cloned().collect();
         let version = *version;
         while let Progress::Closed =
             self.close_one(node, manifest, |team| noted.iter().any(|noted| noted == team)).await?
@@ -178,7 +184,8 @@
         Ok(version)
     }
 
-    /// Closes the accounts of one more team: one that its process drew on and died before it noted it.
+    /// Closes the accounts of one more team. The earlier processes may have drawn on it but died before they
+    /// noted it.
     ///
     /// # Errors
     /// Fails if the store does.
@@ -190,14 +197,17 @@
         self.close_one(node, manifest, |_| true).await
     }
 
-    async fn last<W: Wire, S: Rows>(&mut self, node: &Node<W, S>) -> Result<&mut (PreviousNote, u64), Error> {
-        match &mut self.last {
+    async fn previous<W: Wire, S: Rows>(
+        &mut self,
+        node: &Node<W, S>,
+    ) -> Result<&mut (PreviousNote, u64), Error> {
+        match &mut self.previous {
             Some(known) => Ok(known),
             unread => Ok(unread.insert(read_previous(node).await?)),
         }
     }
 
-    /// Closes the accounts of one of the teams that are meant.
+    /// Closes the accounts of one team out of those that are selected and not closed yet.
     async fn close_one<W: Wire, S: Rows>(
         &mut self,
         node: &Node<W, S>,
@@ -208,14 +218,14 @@
             team.reserved.is_some() && is_selected(&team.name) && !self.closed.contains(&team.name)
         };
         let due: Vec<Arc<Team>> = manifest.teams.values().filter(is_due).cloned().collect();
-        // The gateways of a fleet that starts again shall not all close the accounts of the same team first.
+        // A random one, so that the gateways of a restarting fleet do not all start with the same team.
         let Some(team) = due.choose(&mut rand::thread_rng()) else { return Ok(Progress::Done) };
         let own = format!("{}#", node.settings.name);
         let current = format!("{}.", node.holder);
         let is_earlier = |holder: &str| holder.starts_with(&own) && !holder.starts_with(&current);
         let writers = node.owners.total_owners();
-        let (last, _) = self.last(node).await?;
-        let spent = close_accounts(&node.rows, &team.name, is_earlier, last, writers).await?;
+        let (previous, _) = self.previous(node).await?;
+        let spent = close_accounts(&node.rows, &team.name, is_earlier, previous, writers).await?;
         self.closed.insert(team.name.clone());
         let Some(spent) = spent else { return Ok(Progress::Closed) };
         if let Some(budget) = node.purse(manifest, team) {
@@ -225,21 +235,21 @@
     }
 }
 
-/// Reads what the earlier process noted.
+/// Reads the last usage note of the previous process.
 async fn read_previous<W: Wire, S: Rows>(node: &Node<W, S>) -> Result<(PreviousNote, u64), Error> {
-    // The earlier process was dead when this one started, which was at least so long before the store answers.
+    // The previous process was dead when this one started, at least this long before the store answers.
     let uptime = node.now();
     let page = node.rows.list(NOTES, &node.settings.name).await?;
     let row = page.records.iter().find(|record| record.name == NOTE);
     let note = row.and_then(decode::<Note>).unwrap_or_default();
-    let last = PreviousNote { note, dead_by_ms: page.now_ms.saturating_sub(uptime) };
-    Ok((last, row.map_or(0, |row| row.version)))
+    let previous = PreviousNote { note, dead_by_ms: page.now_ms.saturating_sub(uptime) };
+    Ok((previous, row.map_or(0, |row| row.version)))
 }
 
-/// Writes a note of all budgets.
+/// Writes a usage note of all open budgets.
 async fn write<W: Wire, S: Rows>(
     node: &Node<W, S>,
-    purses: &[Arc<TeamBudget>],
+    open_budgets: &[Arc<TeamBudget>],
     version: &mut Option<u64>,
     latency: &mut WriteLatency,
 ) -> Result<(), Error> {
@@ -253,7 +263,7 @@
     *version = Some(known);
     let at = node.store_now();
     let began = node.now_exact();
-    let begun: Vec<(&Arc<TeamBudget>, u64, Schedule)> = purses
+    let begun: Vec<(&Arc<TeamBudget>, u64, Schedule)> = open_budgets
         .iter()
         .map(|budget| {
             let (generation, schedule) =
@@ -298,8 +308,8 @@
     result.map(|_| ())
 }
 
-/// How many gateways own a budget, as its notes here take it: one that knows no other is alone, and those that draw without
-/// owning it share it with all.
+/// The number of gateways that share a budget, as its notes assume it: one if this gateway knows no other,
+/// and the whole fleet if this gateway draws on the budget without owning it.
 fn budget_owners<W: Wire, S: Rows>(node: &Node<W, S>, team: &str) -> u64 {
     match node.owners.owner_count(team) {
         None => 1,
@@ -308,7 +318,7 @@
     }
 }
 
-/// How long a note takes to be acknowledged, or to fail, in milliseconds.
+/// The average time until a note is acknowledged or has failed, in milliseconds.
 #[derive(Debug, Default)]
 struct WriteLatency {
     ms: f64,
--- a/crates/gateway/src/owners.rs
+++ b/crates/gateway/src/owners.rs
@@ -1,9 +1,11 @@
-//! Which gateways hold the budget of a team for the whole fleet.
+//! Selects the gateways that own the budget of a team on behalf of the whole fleet.
 //!
-//! A budget that is spread over all gateways is in pieces: in a cut some refuse what others could pay, each piece needs
-//! room of its own in its gateway's notes, and each settlement meets the others'. So a team has one owner, or a few if it
-//! is a large part of a large fleet's work, at which the others reserve. Who owns is only a matter of preference: tokens
-//! are safe wherever they are drawn, so gateways that see the fleet differently do no harm.
+//! Spreading a budget over all gateways would split it into many pieces. During a network partition, some
+//! gateways would deny requests that others could pay for, each piece would need its own allowance in the
+//! notes of its gateway, and each settlement would conflict with those of the others. Therefore a team has
+//! one owner, or a few if it is a large part of the work of a large fleet, and the other gateways reserve
+//! tokens at its owners. Ownership is only a preference: tokens are safe wherever they are drawn, so it does
+//! no harm if gateways have different views of the fleet.
 
 use smallvec::SmallVec;
 use std::cmp::Reverse;
@@ -13,38 +15,40 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Gateways whose requests one owner takes at most: so many can reserve at one without its processor being the limit, at
-/// some ten requests a second each. A team has as many owners as its part of the fleet's requests takes, so the pieces of
-/// a budget follow its use and not the number of gateways.
+/// The number of gateways for which one owner makes reservations. With some ten requests per second from each
+/// of them, the owner's processor is not the bottleneck. A team has as many owners as its share of the
+/// fleet's requests needs, so that the number of pieces of its budget depends on its use and not on the size
+/// of the fleet.
 const GATEWAYS_PER_OWNER: usize = 20;
-/// Only VMs with at least this part of the largest one's processor own budgets, if there are enough of them: an owner
-/// answers for its teams however busy its own callers keep it.
+/// Only VMs with at least this fraction of the cores of the largest one own budgets, if there are enough of
+/// them: an owner has to answer for its teams even if its own callers keep it busy.
 const LARGE_VM_RATIO: f64 = 0.5;
-/// How many gateways are ranked for a team at most: its owners, and those that stand in while owners do not answer.
+/// The largest number of gateways that are ranked for a team: its owners, and those that replace owners that
+/// do not answer.
 const MAX_RANKED: usize = 8;
-/// How long a gateway that did not answer is passed over: a restart takes about that.
+/// The time for which a gateway that did not answer is skipped: about the duration of a restart.
 const SKIP_DURATION: Duration = Duration::from_millis(1_000);
 
 /// Another gateway that is alive.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Peer {
     pub name: String,
-    /// Where it listens for other gateways.
+    /// The address at which it listens for other gateways.
     pub address: SocketAddr,
-    /// Processor cores that its VM has.
+    /// The number of processor cores of its VM.
     pub cores: f64,
 }
 
 /// Where to reserve tokens of a team.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Owner {
-    /// Here.
+    /// At this gateway.
     Local,
     /// At another gateway.
     Peer(SocketAddr),
 }
 
-/// The gateways of the fleet, as owners of budgets.
+/// The gateways of the fleet as owners of budgets.
 #[derive(Debug)]
 pub(crate) struct Owners {
     name: String,
@@ -55,25 +59,27 @@
 #[derive(Debug, Default)]
 struct State {
     peers: Vec<Peer>,
-    /// Gateways that did not answer, until when they are passed over.
+    /// Gateways that did not answer, and until when they are skipped.
     skipped_until: HashMap<SocketAddr, Instant>,
-    /// The part of all prepaid tokens that each team has.
+    /// Each team's share of all prepaid tokens.
     level_shares: HashMap<String, f64>,
-    /// Rankings that were made since the fleet or the shares changed: one sorts the whole fleet, and each request needs one.
+    /// Rankings by team since the last change of the fleet or the shares. They are cached because a ranking
+    /// sorts the whole fleet, and each request needs one.
     rankings: HashMap<String, Ranking>,
 }
 
-/// The gateways that a team prefers.
+/// The gateways ranked for a team.
 #[derive(Clone, Debug)]
 struct Ranking {
-    /// How many of them own it.
+    /// The number of gateways, from the start of the list, that own the team's budget.
     owners: usize,
-    /// `None` is this gateway.
+    /// Their addresses; `None` stands for this gateway.
     gateways: SmallVec<[Option<SocketAddr>; MAX_RANKED]>,
 }
 
 impl Owners {
-    /// Knows only the gateway `name`, which is this one, with so many cores.
+    /// Creates the state of the gateway `name`, whose VM has `cores` cores and which knows no other gateway
+    /// yet.
     pub(crate) fn new(name: &str, cores: f64) -> Owners {
         Owners { name: name.to_owned(), cores, state: Mutex::default() }
     }
@@ -82,7 +88,7 @@
         self.state.lock().expect("no thread panics while it holds the peers")
     }
 
-    /// Takes in the other gateways that are alive.
+    /// Sets the other gateways that are alive.
     pub(crate) fn set_peers(&self, alive: &[Peer]) {
         let mut state = self.lock();
         if state.peers == alive {
@@ -94,7 +100,7 @@
         state.skipped_until.retain(|_, until| *until > now);
     }
 
-    /// Takes in the prepaid tokens of each team.
+    /// Sets the prepaid tokens of each team.
     pub(crate) fn set_levels<'a>(&self, levels: impl Iterator<Item = (&'a str, u64)> + Clone) {
         let all = levels.clone().map(|(_, tokens)| tokens as f64).sum::<f64>().max(1.0);
         let mut state = self.lock();
@@ -107,7 +113,7 @@
         let mut state = self.lock();
         let now = Instant::now();
         let Ranking { owners, gateways } = self.ranking(&mut state, team);
-        // Each gateway prefers one of the owners, so that they share the requests.
+        // Each gateway prefers one of the owners, so that the requests are spread over them.
         let first = xxh3_64(self.name.as_bytes()) as usize % owners;
         let preferred = gateways[..owners].iter().cycle().skip(first).take(owners).chain(&gateways[owners..]);
         let is_usable =
@@ -122,7 +128,8 @@
         Owner::Local
     }
 
-    /// How many gateways own `team`, if this one is among them; `None` if it knows no other.
+    /// The number of gateways that own the budget of `team`, or 0 if this gateway is not among them; `None`
+    /// if no other gateway is known.
     pub(crate) fn owner_count(&self, team: &str) -> Option<u64> {
         let mut state = self.lock();
         if state.peers.is_empty() {
@@ -132,7 +139,8 @@
         Some(if gateways[..owners].contains(&None) { owners as u64 } else { 0 })
     }
 
-    /// How many gateways own a budget: each owner of each team counted, up to the size of the fleet.
+    /// The number of gateways that own a budget, as an upper bound: the owners of all teams, but no more than
+    /// there are gateways.
     pub(crate) fn total_owners(&self) -> u64 {
         let state = self.lock();
         let gateways = state.peers.len() + 1;
@@ -149,7 +157,7 @@
         ranking
     }
 
-    /// Ranks the gateways for `team`: the large ones first, each by its own preference.
+    /// Ranks the gateways for `team` by rendezvous hashing, those on large VMs first.
     fn rank(&self, state: &State, team: &str) -> Ranking {
         let seed = xxh3_64(team.as_bytes());
         let weight = |name: &str| xxh3_64_with_seed(name.as_bytes(), seed);
@@ -167,7 +175,8 @@
         }
     }
 
-    /// The cores that a VM needs to own budgets: half of the largest one's, or less if too few have that.
+    /// The cores that a VM needs to own budgets: [`LARGE_VM_RATIO`] of those of the largest VM, or fewer if
+    /// too few VMs have that many.
     fn least_cores(&self, peers: &[Peer]) -> f64 {
         let mut cores: Vec<f64> = peers.iter().map(|peer| peer.cores).collect();
         cores.push(self.cores);
@@ -176,13 +185,13 @@
         (cores[0] * LARGE_VM_RATIO).min(cores[needed - 1])
     }
 
-    /// Passes a gateway over for a while: it did not answer.
+    /// Skips a gateway that did not answer for [`SKIP_DURATION`].
     pub(crate) fn skip(&self, address: SocketAddr) {
         self.lock().skipped_until.insert(address, Instant::now() + SKIP_DURATION);
     }
 }
 
-/// How many gateways of so many own a team that has this part of all prepaid tokens.
+/// The number of owners, out of `gateways`, of a team that has this share of all prepaid tokens.
 fn owners_for_share(share: f64, gateways: usize) -> usize {
     let needed = share * gateways as f64 / GATEWAYS_PER_OWNER as f64;
     (needed.round() as usize).clamp(1, gateways)
--- a/crates/gateway/src/peer_reservations.rs
+++ b/crates/gateway/src/peer_reservations.rs
@@ -1,8 +1,9 @@
-//! Reserving tokens at another gateway, which owns the team's budget.
+//! Reservations at other gateways, which own the budget of the request's team.
 //!
-//! The owner reserves the worst case as for a request of its own, so its notes and its account cover it from then on. What
-//! was used is reported once the request has ended; until then, and for good if no report comes, the worst case counts as
-//! used. So neither gateway's death nor a lost message can spend a token twice.
+//! The owner reserves the worst-case cost as for a request of its own, so its notes and its account cover it
+//! from then on. When the request has ended, the other gateway reports the actual use. Until then, and for
+//! good if no report arrives, the worst case counts as used. So neither the death of a gateway nor a lost
+//! message can make a token be spent twice.
 
 use crate::budget_state::DenialReason;
 use crate::node::{Node, Phase};
@@ -21,46 +22,48 @@
 use std::time::{Duration, Instant};
 use store::rows::Rows;
 
-/// The paths at which gateways ask each other.
+/// The paths of requests between gateways.
 pub(crate) const RESERVE_PATH: &str = "/reserve";
 pub(crate) const REPORT_PATH: &str = "/report";
 
-/// How long an owner takes to answer beside what it may wait for the store: some ways between data centres, and a slow VM.
+/// The time that an owner may take to answer in addition to its wait for tokens: the latency between data
+/// centres, and the delays of a slow VM.
 const NETWORK_ALLOWANCE: Duration = Duration::from_millis(60);
-/// The part of the time that a request may wait for tokens which its owner may use: the rest is for the way, and for the
-/// store if the owner does not answer.
+/// The fraction of the time for which a request may wait for tokens that the owner may take up. The rest is
+/// left for the network, and for the store if the owner does not answer.
 const OWNER_TIMEOUT_RATIO: f64 = 0.6;
-/// Unused connections to an owner that are kept, and how long. With few of them, here and to gateways that make calls for
-/// others, 295 gateways held 169 GB x s of memory over a day with a cut and a loss of all, in place of 288.
+/// The number of unused connections to an owner that are kept, and for how long. With so few of them, here
+/// and to gateways that make store calls for others, 295 gateways held 169 GB s of memory instead of 288 GB s
+/// over a day with a network partition and a loss of all.
 const IDLE_CONNECTIONS: (usize, Duration) = (2, Duration::from_secs(10));
 /// The largest message between gateways, in bytes.
 const MESSAGE_LIMIT: usize = 16 << 10;
-/// Attempts to report what a request used, the time for each, and the pause between two: a gateway that does not answer
-/// for so long may be gone, and charges the worst case.
+/// The attempts to report the use of a request, the time-out of each, and the delay between two. An owner
+/// that does not answer for this long may be gone; if it is not, it charges the worst case.
 const REPORT_ATTEMPTS: u32 = 4;
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// How long after its request's time an owner waits for a report.
+/// How long an owner waits for the report after the request's longest duration.
 const REPORT_GRACE: Duration = Duration::from_secs(10);
 
-/// A reservation that one gateway asks another for.
+/// Asks an owner to reserve tokens.
 #[derive(Debug, Deserialize, Serialize)]
 struct ReserveRequest {
-    /// The asking gateway's process, and the number of its reservation.
+    /// The process of the asking gateway, and the number of the reservation there.
     holder: String,
     number: u64,
     team: String,
-    /// The team's prepaid total, as the asking gateway knows it.
+    /// The team's prepaid total, as known to the asking gateway.
     level_version: u64,
     level_tokens: u64,
     tokens: u64,
-    /// How long the owner may wait for the store.
+    /// How long the owner may wait for tokens.
     patience_ms: u64,
-    /// How long the request may last.
+    /// The longest duration of the request.
     lasts_ms: u64,
 }
 
-/// The owner's answer.
+/// The owner's response to a [`ReserveRequest`].
 #[derive(Debug, Deserialize, Serialize)]
 enum ReserveResponse {
     Held,
@@ -69,11 +72,11 @@
         ready_ms: u64,
         detail: String,
     },
-    /// This gateway stops, or does not know the team.
+    /// The gateway is stopping, or does not know the team.
     Unfit,
 }
 
-/// What a request used in the end.
+/// Tells the owner what a request used.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct UsageReport {
     holder: String,
@@ -82,10 +85,10 @@
     tokens: u64,
 }
 
-/// What was reserved here for other gateways' requests, by process and number.
+/// The reservations that this gateway holds for others, and when they expire, by process and number.
 type HeldReservations = HashMap<(String, u64), (Reservation, Instant)>;
 
-/// Reservations at other gateways, and others' here.
+/// The reservations of this gateway at others, and those that it holds for others.
 #[derive(Debug)]
 pub(crate) struct PeerReservations {
     holder: String,
@@ -94,23 +97,23 @@
     held: Mutex<HeldReservations>,
 }
 
-/// Tokens reserved at another gateway, until what was used of them is reported.
+/// Tokens reserved at another gateway, until their use is reported.
 #[derive(Debug)]
 pub(crate) struct RemoteReservation {
-    delegate: Arc<PeerReservations>,
+    reservations: Arc<PeerReservations>,
     owner: SocketAddr,
     number: u64,
     is_reported: bool,
 }
 
-/// Why tokens can't be had: the reason, when they may be, and what decided it.
+/// Why tokens can't be reserved: the reason, when to retry in milliseconds, and the details for the log.
 pub(crate) type Denial = (DenialReason, u64, String);
 
-/// How asking another gateway ended.
+/// The outcome of a [`ReserveRequest`].
 enum ReserveOutcome {
     Held(RemoteReservation),
     Denied(Denial),
-    /// It did not answer, or does not own the budget any more.
+    /// The owner did not answer, is stopping, or does not know the team.
     Unavailable,
 }
 
@@ -124,25 +127,30 @@
         }
     }
 
-    async fn reserve_at(self: &Arc<Self>, owner: SocketAddr, ask: &ReserveRequest) -> ReserveOutcome {
-        let limit = Duration::from_millis(ask.patience_ms) + NETWORK_ALLOWANCE;
-        // From now on it may be reserved there.
-        let pledge =
-            RemoteReservation { delegate: self.clone(), owner, number: ask.number, is_reported: false };
-        match self.send::<ReserveResponse>("reserve", owner, RESERVE_PATH, ask, limit).await {
-            Ok(ReserveResponse::Held) => ReserveOutcome::Held(pledge),
+    async fn reserve_at(self: &Arc<Self>, owner: SocketAddr, request: &ReserveRequest) -> ReserveOutcome {
+        let limit = Duration::from_millis(request.patience_ms) + NETWORK_ALLOWANCE;
+        // From here on the owner may hold the reservation, so unless it is discarded, dropping it reports
+        // that nothing was used.
+        let reservation = RemoteReservation {
+            reservations: self.clone(),
+            owner,
+            number: request.number,
+            is_reported: false,
+        };
+        match self.send::<ReserveResponse>("reserve", owner, RESERVE_PATH, request, limit).await {
+            Ok(ReserveResponse::Held) => ReserveOutcome::Held(reservation),
             Ok(ReserveResponse::Denied { denied, ready_ms, detail }) => {
-                pledge.discard();
+                reservation.discard();
                 ReserveOutcome::Denied((denied, ready_ms, format!("{detail} owner={owner}")))
             }
             Ok(ReserveResponse::Unfit) => {
-                pledge.discard();
+                reservation.discard();
                 ReserveOutcome::Unavailable
             }
             Err(error) => {
-                log::warn!("budget: event=owner-away team={} owner={owner} error=\"{error}\"", ask.team);
+                log::warn!("budget: event=owner-away team={} owner={owner} error=\"{error}\"", request.team);
                 if error.fault == net::Fault::Unsent {
-                    pledge.discard();
+                    reservation.discard();
                 }
                 ReserveOutcome::Unavailable
             }
@@ -166,13 +174,13 @@
         bincode::deserialize(answer.body()).map_err(|reason| error(net::Fault::Unknown, reason.to_string()))
     }
 
-    /// Reports what a request used, in the background.
+    /// Reports the use of a request in the background.
     fn report(self: &Arc<Self>, owner: SocketAddr, number: u64, request: &str, tokens: u64) {
         let report = UsageReport { holder: self.holder.clone(), number, request: request.to_owned(), tokens };
-        let delegate = self.clone();
+        let reservations = self.clone();
         exec::spawn(async move {
             for round in 1..=REPORT_ATTEMPTS {
-                match delegate.send::<()>("report", owner, REPORT_PATH, &report, REPORT_TIMEOUT).await {
+                match reservations.send::<()>("report", owner, REPORT_PATH, &report, REPORT_TIMEOUT).await {
                     Ok(()) => return,
                     Err(error) if round == REPORT_ATTEMPTS => {
                         log::warn!(
@@ -187,24 +195,24 @@
         .detach();
     }
 
-    /// Takes in another gateway's report.
+    /// Charges the reservation with the use that another gateway reports; it is released if nothing was used.
     fn apply_report(&self, report: &UsageReport) {
         let key = (report.holder.clone(), report.number);
-        let pledge = self.held.lock().expect("no thread panics while it holds the lock").remove(&key);
-        if let Some((reservation, _)) = pledge
+        let reservation = self.held.lock().expect("no thread panics while it holds the lock").remove(&key);
+        if let Some((reservation, _)) = reservation
             && report.tokens > 0
         {
             reservation.charge(&report.request, report.tokens);
         }
     }
 
-    /// Charges the worst case of requests that nobody reported.
+    /// Charges the worst case of requests whose use was not reported in time.
     pub(crate) fn expire(&self) {
         let now = Instant::now();
         let mut held = self.held.lock().expect("no thread panics while it holds the lock");
-        let late = held.extract_if(|_, (_, until)| *until <= now).collect::<Vec<_>>();
+        let expired = held.extract_if(|_, (_, until)| *until <= now).collect::<Vec<_>>();
         drop(held);
-        for ((holder, number), (reservation, _)) in late {
+        for ((holder, number), (reservation, _)) in expired {
             log::warn!("budget: event=charged-at-the-worst holder={holder} number={number}");
             reservation.charge_all(&holder);
         }
@@ -215,10 +223,10 @@
     /// Reports what the request used.
     pub(crate) fn charge(mut self, request: &str, tokens: u64) {
         self.is_reported = true;
-        self.delegate.report(self.owner, self.number, request, tokens);
+        self.reservations.report(self.owner, self.number, request, tokens);
     }
 
-    /// Ends a pledge that was certainly not made.
+    /// Drops a reservation that the owner certainly does not hold, without a report.
     fn discard(mut self) {
         self.is_reported = true;
     }
@@ -227,47 +235,48 @@
 impl Drop for RemoteReservation {
     fn drop(&mut self) {
         if !self.is_reported {
-            self.delegate.report(self.owner, self.number, "-", 0);
+            self.reservations.report(self.owner, self.number, "-", 0);
         }
     }
 }
 
-/// Reserves the worst case of a request: at the team's owner, or here if that is this gateway or does not answer.
+/// Reserves the worst-case cost of a request: at the team's owner, or here if this gateway owns the budget or
+/// the owner is unavailable.
 pub(crate) async fn reserve<W: Wire, S: Rows>(
     node: &Node<W, S>,
     budget: impl FnOnce() -> Option<Arc<TeamBudget>>,
     team: &str,
     level: Level,
     tokens: u64,
-    patience: Duration,
-    lasts: Duration,
+    timeout: Duration,
+    max_duration: Duration,
 ) -> Result<Option<Reservation>, Denial> {
     let began = Instant::now();
     let owner = node.owners.owner_of(team);
     if let Owner::Peer(owner) = owner {
-        let ask = ReserveRequest {
+        let request = ReserveRequest {
             holder: node.holder.clone(),
             number: node.delegate.next_number.fetch_add(1, Ordering::Relaxed),
             team: team.to_owned(),
             level_version: level.version,
             level_tokens: level.tokens,
             tokens,
-            patience_ms: patience.mul_f64(OWNER_TIMEOUT_RATIO).as_millis() as u64,
-            lasts_ms: lasts.as_millis() as u64,
+            patience_ms: timeout.mul_f64(OWNER_TIMEOUT_RATIO).as_millis() as u64,
+            lasts_ms: max_duration.as_millis() as u64,
         };
-        match node.delegate.reserve_at(owner, &ask).await {
-            ReserveOutcome::Held(pledge) => return Ok(Some(Reservation::Remote(pledge))),
+        match node.delegate.reserve_at(owner, &request).await {
+            ReserveOutcome::Held(reservation) => return Ok(Some(Reservation::Remote(reservation))),
             ReserveOutcome::Denied(denial) => return Err(denial),
             ReserveOutcome::Unavailable => node.owners.skip(owner),
         }
     }
     let Some(budget) = budget() else { return Ok(None) };
-    let left = patience.saturating_sub(began.elapsed());
+    let left = timeout.saturating_sub(began.elapsed());
     let reserved = budget.reserve(tokens, left).await;
     reserved.map(Some).map_err(|denied| (denied, budget.retry_after_ms(tokens), budget.explain(tokens)))
 }
 
-/// Answers another gateway that asks for tokens or reports their use.
+/// Handles the requests of other gateways that reserve tokens or report their use.
 pub(crate) async fn answer<W: Wire, S: Rows>(
     node: Arc<Node<W, S>>,
     request: Request<Incoming>,
@@ -276,7 +285,7 @@
     let Ok(bytes) = net::collect(request.into_body(), MESSAGE_LIMIT).await else { return bad_request() };
     match path.as_str() {
         RESERVE_PATH => match bincode::deserialize::<ReserveRequest>(&bytes) {
-            Ok(ask) => encode_response(&reserve_for_peer(&node, ask).await),
+            Ok(request) => encode_response(&reserve_for_peer(&node, request).await),
             Err(_) => bad_request(),
         },
         _ => match bincode::deserialize::<UsageReport>(&bytes) {
@@ -289,21 +298,21 @@
     }
 }
 
-/// Reserves tokens for another gateway's request.
-async fn reserve_for_peer<W: Wire, S: Rows>(node: &Node<W, S>, ask: ReserveRequest) -> ReserveResponse {
+/// Reserves tokens for a request of another gateway.
+async fn reserve_for_peer<W: Wire, S: Rows>(node: &Node<W, S>, request: ReserveRequest) -> ReserveResponse {
     if node.phase() != Phase::Serving {
         return ReserveResponse::Unfit;
     }
     let Some(manifest) = node.manifest() else { return ReserveResponse::Unfit };
-    let team = manifest.teams.get(&ask.team).cloned();
+    let team = manifest.teams.get(&request.team).cloned();
     let Some(budget) = team.and_then(|team| node.purse(&manifest, &team)) else {
         return ReserveResponse::Unfit;
     };
-    budget.set_level(Level { version: ask.level_version, tokens: ask.level_tokens });
-    match budget.reserve(ask.tokens, Duration::from_millis(ask.patience_ms)).await {
+    budget.set_level(Level { version: request.level_version, tokens: request.level_tokens });
+    match budget.reserve(request.tokens, Duration::from_millis(request.patience_ms)).await {
         Ok(reservation) => {
-            let until = Instant::now() + Duration::from_millis(ask.lasts_ms) + REPORT_GRACE;
-            let key = (ask.holder, ask.number);
+            let until = Instant::now() + Duration::from_millis(request.lasts_ms) + REPORT_GRACE;
+            let key = (request.holder, request.number);
             node.delegate
                 .held
                 .lock()
@@ -312,7 +321,7 @@
             ReserveResponse::Held
         }
         Err(denied) => {
-            let (ready_ms, detail) = (budget.retry_after_ms(ask.tokens), budget.explain(ask.tokens));
+            let (ready_ms, detail) = (budget.retry_after_ms(request.tokens), budget.explain(request.tokens));
             ReserveResponse::Denied { denied, ready_ms, detail }
         }
     }
