--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -127,8 +127,8 @@
     loop {
         exec::sleep(Duration::from_millis(node.fleet_size() * CLOSE_DELAY_PER_GATEWAY_MS)).await;
         match recovery.close_next(&node, &manifest).await {
-            Ok(Progress::Closed) => {}
-            Ok(Progress::Done) => return,
+            Ok(RecoveryProgress::Closed) => {}
+            Ok(RecoveryProgress::Done) => return,
             Err(error) => {
                 log::warn!("budget: event=not-recovered closed={} {error}", recovery.closed.len());
                 exec::sleep(RETRY_DELAY).await;
@@ -156,7 +156,7 @@
 }
 
 /// The progress of a recovery.
-pub(crate) enum Progress {
+pub(crate) enum RecoveryProgress {
     /// The accounts of one more team are closed.
     Closed,
     /// No accounts are left to close.
@@ -178,7 +178,7 @@
         let (previous, version) = self.previous(node).await?;
         let noted: Vec<String> = previous.note.budgets.keys().cloned().collect();
         let version = *version;
-        while let Progress::Closed =
+        while let RecoveryProgress::Closed =
             self.close_one(node, manifest, |team| noted.iter().any(|noted| noted == team)).await?
         {}
         Ok(version)
@@ -193,7 +193,7 @@
         &mut self,
         node: &Node<W, S>,
         manifest: &Manifest,
-    ) -> Result<Progress, Error> {
+    ) -> Result<RecoveryProgress, Error> {
         self.close_one(node, manifest, |_| true).await
     }
 
@@ -213,13 +213,13 @@
         node: &Node<W, S>,
         manifest: &Manifest,
         is_selected: impl Fn(&str) -> bool,
-    ) -> Result<Progress, Error> {
+    ) -> Result<RecoveryProgress, Error> {
         let is_due = |team: &&Arc<Team>| {
             team.reserved.is_some() && is_selected(&team.name) && !self.closed.contains(&team.name)
         };
         let due: Vec<Arc<Team>> = manifest.teams.values().filter(is_due).cloned().collect();
         // A random one, so that the gateways of a restarting fleet do not all start with the same team.
-        let Some(team) = due.choose(&mut rand::thread_rng()) else { return Ok(Progress::Done) };
+        let Some(team) = due.choose(&mut rand::thread_rng()) else { return Ok(RecoveryProgress::Done) };
         let own = format!("{}#", node.settings.name);
         let current = format!("{}.", node.holder);
         let is_earlier = |holder: &str| holder.starts_with(&own) && !holder.starts_with(&current);
@@ -227,11 +227,11 @@
         let (previous, _) = self.previous(node).await?;
         let spent = close_accounts(&node.rows, &team.name, is_earlier, previous, writers).await?;
         self.closed.insert(team.name.clone());
-        let Some(spent) = spent else { return Ok(Progress::Closed) };
+        let Some(spent) = spent else { return Ok(RecoveryProgress::Closed) };
         if let Some(budget) = node.purse(manifest, team) {
             budget.set_earlier_use(spent);
         }
-        Ok(Progress::Closed)
+        Ok(RecoveryProgress::Closed)
     }
 }
 
--- a/crates/gateway/tests/unit/notes.rs
+++ b/crates/gateway/tests/unit/notes.rs
@@ -1,4 +1,5 @@
-//! Budgets across the death of a gateway: what its notes allow stays spent, the rest comes back.
+//! Budgets after the death of a gateway process: the use that its notes allow stays outstanding, the rest
+//! returns to the pool.
 
 use super::*;
 use crate::budget_state::DenialReason;
@@ -8,7 +9,7 @@
 use budget::ledger::{Account, Pool};
 use standin::{RowsFault, TableRows};
 
-const PATIENCE: Duration = Duration::from_millis(2_000);
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(2_000);
 const TEAMS: [(&str, u64); 2] = [("desk", 10_000), ("branch", 100_000)];
 
 fn budget(node: &Node<PlainTextWire, TableRows>, team: &str) -> Arc<TeamBudget> {
@@ -21,43 +22,44 @@
     serde_json::from_slice(&bytes).expect("a pool")
 }
 
-/// The account of the first generation of the VM.
+/// The account of the first process on the VM.
 fn account(rows: &TableRows, team: &str) -> Account {
     let is_first = |name: &String| name.contains("vm-1#1");
     let name = rows.names(BUDGETS, team).into_iter().find(is_first).expect("its row");
     serde_json::from_slice(&rows.get(BUDGETS, team, &name).expect("its row")).expect("an account")
 }
 
-fn started(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
+fn start_gateway(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node(name, incarnation, rows);
     assert!(node.put_in_force(manifest(1, &TEAMS)));
     node.set_store_clock(0);
     node
 }
 
-/// Closes what earlier processes of the VM left.
+/// Closes the accounts of earlier processes of the VM.
 async fn recover(node: &Node<PlainTextWire, TableRows>) {
     let manifest = node.manifest().expect("a manifest");
     recover_all(&mut Recovery::default(), node, &manifest).await.expect("the accounts are closed");
 }
 
-async fn note(node: &Node<PlainTextWire, TableRows>, version: &mut Option<u64>) -> Result<(), Error> {
+async fn write_note(node: &Node<PlainTextWire, TableRows>, version: &mut Option<u64>) -> Result<(), Error> {
     let purses: Vec<Arc<TeamBudget>> = node.purses().values().cloned().collect();
     write(node, &purses, version, &mut WriteLatency::default()).await
 }
 
 #[test]
-fn a_restarted_router_gives_back_what_its_earlier_process_cannot_have_used() {
+fn a_restarted_gateway_returns_what_its_previous_process_cannot_have_used() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let first = started("vm-1", 1, &rows);
-        let desk = budget(&first, "desk").reserve(1_000, PATIENCE).await.expect("desk's tokens");
-        let branch = budget(&first, "branch").reserve(20_000, PATIENCE).await.expect("branch's tokens");
-        note(&first, &mut Some(0)).await.expect("the note is written");
-        // The process dies here: nothing that it reserved is charged or given back.
+        let first = start_gateway("vm-1", 1, &rows);
+        let desk = budget(&first, "desk").reserve(1_000, RESERVE_TIMEOUT).await.expect("desk's tokens");
+        let branch =
+            budget(&first, "branch").reserve(20_000, RESERVE_TIMEOUT).await.expect("branch's tokens");
+        write_note(&first, &mut Some(0)).await.expect("the note is written");
+        // The process dies here: its reservations are neither charged nor released.
         std::mem::forget((desk, branch));
 
-        let second = started("vm-1", 2, &rows);
+        let second = start_gateway("vm-1", 2, &rows);
         recover(&second).await;
         let (desk, branch) = (pool(&rows, "desk"), pool(&rows, "branch"));
         assert!(desk.free <= 9_000 && desk.free > 7_500, "desk has {} free", desk.free);
@@ -67,57 +69,57 @@
 }
 
 #[test]
-fn a_restarted_router_gives_nothing_back_if_nothing_was_noted() {
+fn exposed_tokens_are_not_returned_if_no_note_was_written() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let first = started("vm-1", 1, &rows);
-        let used = budget(&first, "desk").reserve(1_000, PATIENCE).await.expect("tokens");
+        let first = start_gateway("vm-1", 1, &rows);
+        let used = budget(&first, "desk").reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens");
         std::mem::forget(used);
         let before = account(&rows, "desk").lines["desk"];
         assert!(before.exposed >= 1_000);
-        let second = started("vm-1", 2, &rows);
+        let second = start_gateway("vm-1", 2, &rows);
         recover(&second).await;
         let closed = account(&rows, "desk");
         assert!(closed.closed);
         let stays = before.held().min(before.exposed);
-        assert_eq!(closed.lines["desk"].held(), stays, "all that it may have used stays out");
+        assert_eq!(closed.lines["desk"].held(), stays, "all tokens that it may have used stay outstanding");
     });
 }
 
 #[test]
-fn a_note_whose_answer_was_lost_binds_as_well_as_the_one_before() {
+fn a_note_whose_response_was_lost_limits_use_along_with_the_previous_one() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", 1, &rows);
+        let gateway = start_gateway("vm-1", 1, &rows);
         let budget = budget(&gateway, "branch");
-        drop(budget.reserve(20_000, PATIENCE).await.expect("tokens"));
+        drop(budget.reserve(20_000, RESERVE_TIMEOUT).await.expect("tokens"));
         let mut version = Some(0);
-        note(&gateway, &mut version).await.expect("the note is written");
+        write_note(&gateway, &mut version).await.expect("the note is written");
         let noted = budget.lock().note_limit();
         rows.set_fault(RowsFault::LateWrites);
-        note(&gateway, &mut version).await.expect_err("no answer");
+        write_note(&gateway, &mut version).await.expect_err("the response is lost");
         assert_eq!(version, None, "the row's version has to be read again");
         rows.set_fault(RowsFault::Down);
         let limit = budget.lock().note_limit();
-        assert!(limit <= noted + 1_000, "an unanswered note raises nothing: {noted} to {limit}");
+        assert!(limit <= noted + 1_000, "an unacknowledged note raised the limit from {noted} to {limit}");
         let denied = budget.reserve(limit + 1, Duration::from_millis(100)).await.err();
         assert_matches!(denied, Some(DenialReason::Away));
 
-        // The next note is written under the condition that the late one has not landed.
+        // The next note is written under the condition that the late one has not taken effect.
         rows.set_fault(RowsFault::None);
-        note(&gateway, &mut version).await.expect("the next note is written");
-        assert_eq!(rows.land(), 0, "the late note can't undo the newer one");
+        write_note(&gateway, &mut version).await.expect("the next note is written");
+        assert_eq!(rows.land(), 0, "the late note can't overwrite the newer one");
     });
 }
 
 #[test]
-fn without_notes_the_limit_grows_so_that_an_outage_is_bridged() {
+fn the_note_limit_grows_during_an_outage_of_the_store() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", 1, &rows);
+        let gateway = start_gateway("vm-1", 1, &rows);
         let budget = budget(&gateway, "branch");
-        drop(budget.reserve(20_000, PATIENCE).await.expect("tokens"));
-        note(&gateway, &mut Some(0)).await.expect("the note is written");
+        drop(budget.reserve(20_000, RESERVE_TIMEOUT).await.expect("tokens"));
+        write_note(&gateway, &mut Some(0)).await.expect("the note is written");
         rows.set_fault(RowsFault::Down);
         let at_once = budget.reserve(8_000, Duration::from_millis(50)).await.err();
         assert_matches!(at_once, Some(DenialReason::Away));
@@ -133,46 +135,46 @@
 }
 
 #[test]
-fn the_time_since_the_next_start_gives_a_dead_router_nothing() {
+fn the_time_since_the_restart_does_not_raise_the_limit_of_the_dead_process() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let first = started("vm-1", 1, &rows);
+        let first = start_gateway("vm-1", 1, &rows);
         first.fleet.store(1, std::sync::atomic::Ordering::Relaxed);
-        std::mem::forget(budget(&first, "branch").reserve(1_000, PATIENCE).await.expect("tokens"));
+        std::mem::forget(budget(&first, "branch").reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens"));
         exec::sleep(Duration::from_millis(200)).await;
         assert!(budget(&first, "branch").token_counts().available > 40_000, "it holds much of the budget");
-        note(&first, &mut Some(0)).await.expect("the note is written");
-        let second = started("vm-1", 2, &rows);
-        // The store answers the new process late: by this time the limit of the note has grown by thousands.
+        write_note(&first, &mut Some(0)).await.expect("the note is written");
+        let second = start_gateway("vm-1", 2, &rows);
+        // The store answers the new process late: by then, the note's limit has grown by thousands of tokens.
         exec::sleep(Duration::from_millis(2_800)).await;
         recover(&second).await;
         let exposed = account(&rows, "branch").lines["branch"].held();
-        assert!((1_000..4_000).contains(&exposed), "{exposed} tokens stay out");
+        assert!((1_000..4_000).contains(&exposed), "{exposed} tokens stay outstanding");
     });
 }
 
 #[test]
-fn what_requests_reserve_counts_before_any_of_them_ends() {
+fn reservations_count_as_use_before_any_request_has_ended() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", 1, &rows);
+        let gateway = start_gateway("vm-1", 1, &rows);
         gateway.fleet.store(1, std::sync::atomic::Ordering::Relaxed);
         let branch = budget(&gateway, "branch");
         let mut open = vec![];
         for _ in 0..80 {
-            open.push(branch.reserve(150, PATIENCE).await.expect("tokens"));
+            open.push(branch.reserve(150, RESERVE_TIMEOUT).await.expect("tokens"));
             exec::sleep(Duration::from_millis(50)).await;
         }
         let (_, schedule) = branch.begin_note(5, 1);
-        assert!(schedule.per_s > 1_800, "{schedule:?} of 3,000 tokens a second");
+        assert!(schedule.per_s > 1_800, "{schedule:?} for a use of 3,000 tokens per second");
     });
 }
 
-/// Uses 500 tokens every 50 ms until the end of `lasts`, as requests do that end at once; returns what was used.
-async fn use_steadily(budget: &Arc<TeamBudget>, lasts: Duration) -> u64 {
+/// Charges requests of 500 tokens that end at once, one every 50 ms, for `duration`; returns the tokens used.
+async fn use_steadily(budget: &Arc<TeamBudget>, duration: Duration) -> u64 {
     let began = std::time::Instant::now();
     let mut used = 0;
-    while began.elapsed() < lasts {
+    while began.elapsed() < duration {
         if let Ok(held) = budget.reserve(500, Duration::from_millis(50)).await {
             held.charge("r-1", 500);
             used += 500;
@@ -182,17 +184,17 @@
     used
 }
 
-/// The same as in `budget/tests/outages.rs`, through a gateway's own budget, notes and recovery.
+/// The same check as in `budget/tests/outages.rs`, with the budget, the notes and the recovery of a gateway.
 #[test]
-fn a_death_after_an_outage_costs_little_more_than_was_used() {
+fn a_crash_after_an_outage_strands_little_more_than_was_used() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let first = started("vm-1", 1, &rows);
+        let first = start_gateway("vm-1", 1, &rows);
         first.fleet.store(1, std::sync::atomic::Ordering::Relaxed);
         assert!(first.put_in_force(manifest(2, &[("branch", 1_000_000)])));
         let branch = budget(&first, "branch");
         use_steadily(&branch, Duration::from_secs(3)).await;
-        note(&first, &mut Some(0)).await.expect("the note is written");
+        write_note(&first, &mut Some(0)).await.expect("the note is written");
         rows.set_fault(RowsFault::Down);
         let used = use_steadily(&branch, Duration::from_secs(6)).await;
 
@@ -202,38 +204,45 @@
         recover(&second).await;
         let lost = account(&rows, "branch").lines["branch"].held();
         assert!(used > 20_000, "the outage was bridged: {used} tokens");
-        assert!(lost >= used && lost < used + 100_000, "{used} tokens were used, and {lost} stay out");
+        assert!(
+            lost >= used && lost < used + 100_000,
+            "{used} tokens were used, and {lost} stay outstanding"
+        );
     });
 }
 
 #[test]
-fn a_restarted_router_opens_the_budgets_that_its_earlier_process_used() {
+fn a_restarted_gateway_opens_the_budgets_that_its_previous_process_used() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let first = started("vm-1", 1, &rows);
-        budget(&first, "branch").reserve(20_000, PATIENCE).await.expect("tokens").charge("r-1", 20_000);
-        note(&first, &mut Some(0)).await.expect("the note is written");
-        let second = started("vm-1", 2, &rows);
+        let first = start_gateway("vm-1", 1, &rows);
+        budget(&first, "branch")
+            .reserve(20_000, RESERVE_TIMEOUT)
+            .await
+            .expect("tokens")
+            .charge("r-1", 20_000);
+        write_note(&first, &mut Some(0)).await.expect("the note is written");
+        let second = start_gateway("vm-1", 2, &rows);
         recover(&second).await;
         let opened: Vec<String> = second.purses().keys().cloned().collect();
         assert_eq!(opened, ["branch"]);
         exec::sleep(Duration::from_millis(300)).await;
         rows.set_fault(RowsFault::Down);
         budget(&second, "branch")
-            .reserve(5_000, PATIENCE)
+            .reserve(5_000, RESERVE_TIMEOUT)
             .await
-            .expect("tokens were drawn before they were asked for");
+            .expect("tokens were drawn before the first request");
     });
 }
 
 #[test]
-fn a_request_waits_until_the_limit_of_the_note_has_grown() {
+fn a_request_waits_until_the_note_limit_has_grown() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", 1, &rows);
+        let gateway = start_gateway("vm-1", 1, &rows);
         let budget = budget(&gateway, "branch");
-        drop(budget.reserve(20_000, PATIENCE).await.expect("tokens"));
-        note(&gateway, &mut Some(0)).await.expect("the note is written");
+        drop(budget.reserve(20_000, RESERVE_TIMEOUT).await.expect("tokens"));
+        write_note(&gateway, &mut Some(0)).await.expect("the note is written");
         rows.set_fault(RowsFault::Down);
         assert_matches!(
             budget.reserve(3_000, Duration::from_millis(10)).await.err(),
@@ -244,38 +253,41 @@
 }
 
 #[test]
-fn an_account_is_closed_although_many_close_theirs_at_the_same_time() {
+fn an_account_is_closed_although_many_gateways_write_the_pool_row() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let first = started("vm-1", 1, &rows);
-        std::mem::forget(budget(&first, "branch").reserve(1_000, PATIENCE).await.expect("tokens"));
-        note(&first, &mut Some(0)).await.expect("the note is written");
+        let first = start_gateway("vm-1", 1, &rows);
+        std::mem::forget(budget(&first, "branch").reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens"));
+        write_note(&first, &mut Some(0)).await.expect("the note is written");
         let before = pool(&rows, "branch").outstanding;
-        let second = started("vm-1", 2, &rows);
+        let second = start_gateway("vm-1", 2, &rows);
         rows.set_conflicts(12);
         recover(&second).await;
-        assert!(account(&rows, "branch").closed, "{before} tokens stay out of use");
+        assert!(
+            account(&rows, "branch").closed,
+            "the account is still open, so {before} tokens stay unusable"
+        );
     });
 }
 
 #[test]
-fn a_recovery_goes_on_where_the_store_refused_it() {
+fn a_recovery_resumes_after_the_store_failed() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let first = started("vm-1", 1, &rows);
+        let first = start_gateway("vm-1", 1, &rows);
         for (team, _) in TEAMS {
-            std::mem::forget(budget(&first, team).reserve(1_000, PATIENCE).await.expect("tokens"));
+            std::mem::forget(budget(&first, team).reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens"));
         }
-        note(&first, &mut Some(0)).await.expect("the note is written");
-        let second = started("vm-1", 2, &rows);
+        write_note(&first, &mut Some(0)).await.expect("the note is written");
+        let second = start_gateway("vm-1", 2, &rows);
         let manifest = second.manifest().expect("a manifest");
         let mut recovery = Recovery::default();
         rows.set_fault(RowsFault::Down);
-        recover_all(&mut recovery, &second, &manifest).await.expect_err("the store is away");
+        recover_all(&mut recovery, &second, &manifest).await.expect_err("the store is unavailable");
         rows.set_fault(RowsFault::None);
         recovery.closed.insert("branch".to_owned());
         recover_all(&mut recovery, &second, &manifest).await.expect("the rest is closed");
         assert!(account(&rows, "desk").closed);
-        assert!(!account(&rows, "branch").closed, "what counts as closed is not read again");
+        assert!(!account(&rows, "branch").closed, "an account that counts as closed is not read again");
     });
 }
--- a/crates/gateway/tests/unit/owners.rs
+++ b/crates/gateway/tests/unit/owners.rs
@@ -1,4 +1,4 @@
-//! Which gateway owns a team's budget.
+//! The selection of the gateways that own a team's budget.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     (1..=size).map(|index| peer(index, CORES)).collect()
 }
 
-/// Each gateway's view of the fleet.
+/// Each gateway with its view of the fleet.
 fn views(all: &[Peer]) -> Vec<(SocketAddr, Owners)> {
     let view = |own: &Peer| {
         let owners = Owners::new(&own.name, own.cores);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_team_of_a_large_fleet_has_owners_by_its_part_of_the_work() {
+fn a_team_of_a_large_fleet_has_owners_in_proportion_to_its_share() {
     let views = views(&fleet(86));
     let levels = [("desk", 6_000_u64), ("field", 3_000), ("lab", 1_000)];
     for (team, count) in [("desk", 3), ("field", 1), ("lab", 1)] {
@@ -61,11 +61,12 @@
             .filter(|(_, owners)| owners.owner_count(team) == share)
             .map(|(own, _)| *own)
             .collect();
-        assert_eq!(owning, chosen, "those that are asked know that they own it");
+        assert_eq!(owning, chosen, "the gateways that are asked to reserve know that they own the budget");
     }
 }
 
-/// The number of owners, and so of notes, settlements and pieces of a budget, follows the work and not the fleet.
+/// Guards against costs that grow with the fleet: the number of owners determines the numbers of notes,
+/// of settlements and of pieces of a budget, and should depend on the shares of the teams.
 #[test]
 fn ten_times_the_gateways_do_not_have_ten_times_the_owners() {
     let owners_in = |gateways| {
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_answer_is_passed_over_by_all_alike() {
+fn all_gateways_replace_an_owner_that_does_not_answer_by_the_same_one() {
     let views = views(&fleet(7));
     let first = chosen("desk", &views)[0];
     views.iter().for_each(|(_, owners)| owners.skip(first));
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_gateway_that_knows_no_other_owns_all() {
+fn a_gateway_that_knows_no_other_owns_all_budgets() {
     let owners = Owners::new("vm-1", CORES);
     assert_eq!(owners.owner_of("desk"), Owner::Local);
     assert_eq!(owners.owner_count("desk"), None);
--- a/crates/gateway/tests/unit/peer_reservations.rs
+++ b/crates/gateway/tests/unit/peer_reservations.rs
@@ -1,4 +1,4 @@
-//! Requests of one gateway whose tokens are reserved at another.
+//! Requests at one gateway whose tokens are reserved at another.
 
 use super::*;
 use crate::owners::Peer;
@@ -11,9 +11,9 @@
 
 const TEAM: &str = "desk";
 const TOTAL: u64 = 100_000;
-const LASTS: Duration = Duration::from_secs(5);
+const MAX_DURATION: Duration = Duration::from_secs(5);
 
-/// Two gateways: the one that owns the team's budget, with its listener, and the other.
+/// Two gateways: the one that owns the team's budget, with its listener, and another one.
 struct Pair {
     rows: TableRows,
     owner: Arc<Node<PlainTextWire, TableRows>>,
@@ -46,16 +46,16 @@
         let manifest = self.other.manifest().expect("a manifest");
         let budget = || self.other.purse(&manifest, &manifest.teams[TEAM]);
         let level = Level { version: manifest.version, tokens: TOTAL };
-        reserve(&self.other, budget, TEAM, level, tokens, Duration::from_millis(500), LASTS).await
+        reserve(&self.other, budget, TEAM, level, tokens, Duration::from_millis(500), MAX_DURATION).await
     }
 
-    /// Tokens that the owner has in use.
-    fn in_use(&self) -> u64 {
+    /// The tokens that are reserved at the owner.
+    fn reserved_tokens(&self) -> u64 {
         let budget = self.owner.purses().get(TEAM).cloned();
         budget.map_or(0, |budget| budget.lock().grant.reserved())
     }
 
-    /// What the store has as spent, once it is `tokens`.
+    /// The tokens spent according to the store. Waits a few seconds for `tokens`.
     async fn spent(&self, tokens: u64) -> u64 {
         let mut spent = 0;
         for _ in 0..200 {
@@ -72,26 +72,26 @@
 }
 
 #[test]
-fn the_owner_reserves_and_charges_for_the_other() {
+fn the_owner_reserves_and_charges_tokens_for_another_gateway() {
     exec::block_on(async {
         let pair = Pair::start().await;
         let reservation = pair.reserve(10_000).await.expect("tokens").expect("a budget");
         assert_matches!(reservation, Reservation::Remote(_));
-        assert_eq!(pair.in_use(), 10_000);
+        assert_eq!(pair.reserved_tokens(), 10_000);
         reservation.charge("r-1", 4_000);
         assert_eq!(pair.spent(4_000).await, 4_000);
-        assert_eq!(pair.in_use(), 0);
-        assert!(pair.other.purses().is_empty(), "the other holds nothing");
+        assert_eq!(pair.reserved_tokens(), 0);
+        assert!(pair.other.purses().is_empty(), "the other gateway has opened no budget");
     });
 }
 
 #[test]
-fn a_request_that_did_not_run_gives_its_tokens_back() {
+fn the_reservation_of_a_request_that_did_not_run_is_released() {
     exec::block_on(async {
         let pair = Pair::start().await;
         drop(pair.reserve(TOTAL).await.expect("tokens"));
         for _ in 0..100 {
-            if pair.in_use() == 0 {
+            if pair.reserved_tokens() == 0 {
                 break;
             }
             exec::sleep(Duration::from_millis(20)).await;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_owners_refusal_is_the_answer() {
+fn a_denial_by_the_owner_is_final() {
     exec::block_on(async {
         let pair = Pair::start().await;
         let held = pair.reserve(TOTAL).await.expect("tokens");
@@ -111,12 +111,12 @@
 }
 
 #[test]
-fn a_request_that_nobody_reports_counts_at_its_most() {
+fn a_request_without_a_report_is_charged_at_its_worst_case() {
     exec::block_on(async {
         let pair = Pair::start().await;
         let reservation = pair.reserve(10_000).await.expect("tokens").expect("a budget");
-        // The other gateway dies.
-        let Reservation::Remote(remote) = reservation else { panic!("it is reserved at the owner") };
+        // As if the other gateway died: no report is sent.
+        let Reservation::Remote(remote) = reservation else { panic!("the reservation is local") };
         remote.discard();
         for (_, until) in pair.owner.delegate.held.lock().expect("the lock").values_mut() {
             *until = Instant::now();
@@ -127,30 +127,30 @@
 }
 
 #[test]
-fn without_the_owner_tokens_are_drawn_here() {
+fn without_the_owner_tokens_are_drawn_locally() {
     exec::block_on(async {
         let mut pair = Pair::start().await;
         drop(pair.handle.take());
         let reservation = pair.reserve(10_000).await.expect("tokens").expect("a budget");
         assert_matches!(reservation, Reservation::Local(_));
-        assert_eq!(pair.other.owners.owner_of(TEAM), Owner::Local, "the owner is passed over for a while");
+        assert_eq!(pair.other.owners.owner_of(TEAM), Owner::Local, "the owner is skipped for a while");
     });
 }
 
 #[test]
-fn requests_are_paid_through_the_owner_while_the_store_is_down() {
+fn the_owner_reserves_tokens_while_the_store_is_down() {
     exec::block_on(async {
         let pair = Pair::start().await;
         pair.reserve(10_000).await.expect("tokens").expect("a budget").charge("r-1", 10_000);
         assert_eq!(pair.spent(10_000).await, 10_000);
         pair.rows.set_fault(RowsFault::Down);
-        let reservation = pair.reserve(2_000).await.expect("the owner has tokens at hand");
+        let reservation = pair.reserve(2_000).await.expect("the owner holds tokens");
         assert_matches!(reservation, Some(Reservation::Remote(_)));
     });
 }
 
 #[test]
-fn a_stopping_owner_takes_no_more() {
+fn a_stopping_owner_accepts_no_reservations() {
     exec::block_on(async {
         let pair = Pair::start().await;
         pair.owner.set_phase(Phase::Leaving);
--- a/crates/gateway/tests/unit/settle.rs
+++ b/crates/gateway/tests/unit/settle.rs
@@ -1,4 +1,4 @@
-//! Settlements whose answers are lost, come late, or meet another gateway's.
+//! Settlements with lost or late writes, and with conflicts between gateways.
 
 use super::retry_delay;
 use crate::budget_state::DenialReason;
@@ -13,9 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_millis(3_000);
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-fn started(name: &str, rows: &TableRows, version: u64, tokens: u64) -> Arc<Node<PlainTextWire, TableRows>> {
+fn start_gateway(
+    name: &str,
+    rows: &TableRows,
+    version: u64,
+    tokens: u64,
+) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node(name, 1, rows);
     assert!(node.put_in_force(manifest(version, &[("desk", tokens)])));
     node.fleet.store(2, std::sync::atomic::Ordering::Relaxed);
@@ -33,8 +38,8 @@
     serde_json::from_slice(&bytes).expect("a pool")
 }
 
-/// Waits until the pool is as it should be.
-async fn until(rows: &TableRows, what: &str, check: impl Fn(&Pool) -> bool) {
+/// Waits until `check` accepts the pool; panics with `what` if that takes too long.
+async fn wait_for_pool(rows: &TableRows, what: &str, check: impl Fn(&Pool) -> bool) {
     for _ in 0..200 {
         if rows.get(BUDGETS, "desk", POOL).is_some() && check(&pool(rows)) {
             return;
@@ -45,94 +50,97 @@
 }
 
 #[test]
-fn what_was_used_is_spent_once_though_answers_are_lost() {
+fn use_is_settled_once_although_store_responses_are_lost() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", &rows, 1, 10_000);
+        let gateway = start_gateway("vm-1", &rows, 1, 10_000);
         rows.set_fault(RowsFault::LostAnswers);
         let budget = budget(&gateway);
         let first = budget.reserve(4_000, Duration::from_millis(50)).await;
         assert_matches!(first, Err(DenialReason::Away));
         rows.set_fault(RowsFault::None);
-        budget.reserve(4_000, PATIENCE).await.expect("tokens").charge("r-1", 3_000);
-        until(&rows, "the charge is settled", |pool| pool.spent == 3_000 && pool.balance()).await;
+        budget.reserve(4_000, RESERVE_TIMEOUT).await.expect("tokens").charge("r-1", 3_000);
+        wait_for_pool(&rows, "the charge is settled", |pool| pool.spent == 3_000 && pool.balance()).await;
     });
 }
 
 #[test]
-fn a_write_that_lands_late_grants_nothing_twice() {
+fn a_late_write_does_not_grant_tokens_twice() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", &rows, 1, 10_000);
+        let gateway = start_gateway("vm-1", &rows, 1, 10_000);
         rows.set_fault(RowsFault::LateWrites);
         let budget = budget(&gateway);
         assert_matches!(budget.reserve(4_000, Duration::from_millis(50)).await, Err(DenialReason::Away));
         rows.set_fault(RowsFault::None);
-        let held = budget.reserve(4_000, PATIENCE).await.expect("tokens");
+        let held = budget.reserve(4_000, RESERVE_TIMEOUT).await.expect("tokens");
         rows.land();
         held.charge("r-1", 4_000);
-        until(&rows, "the charge is settled", |pool| pool.spent == 4_000).await;
+        wait_for_pool(&rows, "the charge is settled", |pool| pool.spent == 4_000).await;
         let pool = pool(&rows);
         assert!(pool.balance() && pool.spent + pool.outstanding <= 10_000, "{pool:?}");
     });
 }
 
 #[test]
-fn a_request_that_does_not_fit_is_refused_and_one_that_does_is_not() {
+fn requests_are_denied_only_if_they_exceed_the_budget() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", &rows, 1, 10_000);
+        let gateway = start_gateway("vm-1", &rows, 1, 10_000);
         let budget = budget(&gateway);
-        assert_matches!(budget.reserve(10_001, PATIENCE).await, Err(DenialReason::Spent));
-        let all = budget.reserve(10_000, PATIENCE).await.expect("the whole budget fits");
+        assert_matches!(budget.reserve(10_001, RESERVE_TIMEOUT).await, Err(DenialReason::Spent));
+        let all = budget.reserve(10_000, RESERVE_TIMEOUT).await.expect("the whole budget fits");
         all.charge("r-1", 10_000);
-        assert_matches!(budget.reserve(1, PATIENCE).await, Err(DenialReason::Spent));
+        assert_matches!(budget.reserve(1, RESERVE_TIMEOUT).await, Err(DenialReason::Spent));
         gateway.put_in_force(manifest(2, &[("desk", 12_000)]));
         net::exec::sleep(Duration::from_millis(300)).await;
-        budget.reserve(2_000, PATIENCE).await.expect("the top-up");
+        budget.reserve(2_000, RESERVE_TIMEOUT).await.expect("the raised level covers the request");
     });
 }
 
 #[test]
-fn a_router_gives_its_idle_tokens_back_when_another_needs_them() {
+fn a_gateway_returns_idle_tokens_that_another_one_needs() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let (one, two) = (started("vm-1", &rows, 1, 10_000), started("vm-2", &rows, 1, 10_000));
-        drop(budget(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
-        until(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
-        let held = budget(&two).reserve(9_500, PATIENCE).await;
-        assert!(held.is_ok(), "the idle tokens never came back: {held:?}");
+        let (one, two) = (start_gateway("vm-1", &rows, 1, 10_000), start_gateway("vm-2", &rows, 1, 10_000));
+        drop(budget(&one).reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens"));
+        wait_for_pool(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
+        let held = budget(&two).reserve(9_500, RESERVE_TIMEOUT).await;
+        assert!(held.is_ok(), "the idle tokens were not returned: {held:?}");
     });
 }
 
 #[test]
-fn a_lowered_level_takes_idle_tokens_back() {
+fn a_lowered_level_returns_idle_tokens_to_the_pool() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", &rows, 1, 10_000);
+        let gateway = start_gateway("vm-1", &rows, 1, 10_000);
         let budget = budget(&gateway);
-        budget.reserve(1_000, PATIENCE).await.expect("tokens").charge("r-1", 1_000);
-        until(&rows, "a share is held", |pool| pool.spent == 1_000 && pool.outstanding > 0).await;
+        budget.reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens").charge("r-1", 1_000);
+        wait_for_pool(&rows, "a share is held", |pool| pool.spent == 1_000 && pool.outstanding > 0).await;
         gateway.put_in_force(manifest(2, &[("desk", 1_500)]));
-        until(&rows, "nothing beyond the level is out", |pool| pool.spent + pool.outstanding <= 1_500).await;
+        wait_for_pool(&rows, "no more than the level is spent or outstanding", |pool| {
+            pool.spent + pool.outstanding <= 1_500
+        })
+        .await;
         assert_matches!(
-            budget.reserve(1_000, PATIENCE).await,
+            budget.reserve(1_000, RESERVE_TIMEOUT).await,
             Err(DenialReason::Spent | DenialReason::Elsewhere)
         );
     });
 }
 
 #[test]
-fn a_stopped_router_gives_everything_back() {
+fn a_stopped_gateway_returns_all_unused_tokens() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", &rows, 1, 10_000);
+        let gateway = start_gateway("vm-1", &rows, 1, 10_000);
         let budget = budget(&gateway);
-        budget.reserve(1_000, PATIENCE).await.expect("tokens").charge("r-1", 700);
-        budget.close(PATIENCE).await;
+        budget.reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens").charge("r-1", 700);
+        budget.close(RESERVE_TIMEOUT).await;
         let pool = pool(&rows);
         assert_eq!((pool.spent, pool.outstanding, pool.free), (700, 0, 9_300));
-        let next = started("vm-1", &rows, 1, 10_000);
+        let next = start_gateway("vm-1", &rows, 1, 10_000);
         recover_all(&mut Recovery::default(), &next, &next.manifest().expect("a manifest"))
             .await
             .expect("nothing is left to close");
@@ -141,84 +149,89 @@
 }
 
 #[test]
-fn settlements_that_keep_failing_pause_longer_the_larger_the_fleet() {
+fn repeated_settlement_failures_are_retried_less_often_in_a_larger_fleet() {
     let longest =
         |failures, fleet| (0..50).map(|_| retry_delay(failures, fleet).as_millis()).max().unwrap_or(0);
     let shortest =
         |failures, fleet| (0..50).map(|_| retry_delay(failures, fleet).as_millis()).min().unwrap_or(0);
     assert!(
         longest(0, 6) <= 250 && longest(20, 6) <= 500,
-        "a small fleet notices soon that the store is back"
+        "a small fleet retries soon after the store recovers"
     );
     assert!(longest(20, 87) > 3_000 && longest(20, 87) <= 4_350);
-    assert!(shortest(20, 87) >= 2_175, "they don't all come back at once, nor at once at all");
+    assert!(shortest(20, 87) >= 2_175, "a large fleet retries neither immediately nor all at the same time");
 }
 
 #[test]
-fn a_router_without_idle_tokens_answers_no_call_for_them() {
+fn a_gateway_without_idle_tokens_does_not_respond_to_a_recall() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", &rows, 1, 10_000);
+        let gateway = start_gateway("vm-1", &rows, 1, 10_000);
         let budget = budget(&gateway);
-        let all = budget.reserve(10_000, PATIENCE).await;
+        let all = budget.reserve(10_000, RESERVE_TIMEOUT).await;
         let all =
             all.unwrap_or_else(|denied| panic!("{denied:?} {} {:?}", budget.explain(10_000), budget.lock()));
         net::exec::sleep(Duration::from_millis(300)).await;
         let before = rows.commits();
         budget.recall(1_000);
         net::exec::sleep(Duration::from_millis(300)).await;
-        assert_eq!(rows.commits(), before, "it has nothing to give back");
+        assert_eq!(rows.commits(), before, "a gateway without idle tokens has nothing to return");
         all.charge("r-1", 10_000);
     });
 }
 
 #[test]
-fn what_a_waiting_request_is_about_to_reserve_is_not_given_back() {
+fn tokens_that_a_waiting_request_needs_are_not_returned() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let gateway = started("vm-1", &rows, 1, 10_000);
+        let gateway = start_gateway("vm-1", &rows, 1, 10_000);
         let budget = budget(&gateway);
         net::exec::sleep(Duration::from_millis(200)).await;
         let mut state = budget.lock();
-        // A settlement brought all tokens; the request that waits for them has not run yet.
+        // A settlement draws all tokens before the request that waits for them is polled again.
         state.waiting_tokens = 10_000;
-        let batch = state.next_batch("desk", 1_000, false, 2).expect("the rest is drawn");
+        let batch = state.next_batch("desk", 1_000, false, 2).expect("a batch that draws the rest");
         assert_eq!(batch.entries["desk"].need, 10_000 - 3_750);
         let mut account = state.rows.account.clone();
         let mut pools = std::collections::BTreeMap::from([("desk".to_owned(), state.rows.pool.clone())]);
-        budget::ledger::post(&mut account, &mut pools, &|_| false, &batch, 2).expect("it is posted");
+        budget::ledger::post(&mut account, &mut pools, &|_| false, &batch, 2)
+            .expect("the batch can be posted");
         state.rows.account = account;
         state.rows.pool = pools["desk"].clone();
         state.close_batch("desk");
         let next = state.next_batch("desk", 2_000, false, 2);
-        assert!(next.is_none_or(|next| next.entries["desk"].returned == 0), "it was given back");
+        assert!(
+            next.is_none_or(|next| next.entries["desk"].returned == 0),
+            "the tokens were returned to the pool"
+        );
         assert_matches!(state.reserve(10_000), true);
     });
 }
 
-/// A gateway that holds no budget does not watch calls for tokens; from its first budget on it has to.
+/// Guards against missing recalls: a gateway without open budgets does not follow them, and has to start
+/// doing so when it opens its first budget.
 #[test]
-fn a_router_hears_a_call_for_tokens_right_after_its_first_budget_was_opened() {
+fn a_gateway_follows_recalls_as_soon_as_its_first_budget_is_open() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let (one, two) = (started("vm-1", &rows, 1, 10_000), started("vm-2", &rows, 1, 10_000));
+        let (one, two) = (start_gateway("vm-1", &rows, 1, 10_000), start_gateway("vm-2", &rows, 1, 10_000));
         net::exec::sleep(Duration::from_millis(100)).await;
-        drop(budget(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
-        until(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
+        drop(budget(&one).reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens"));
+        wait_for_pool(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
         let held = budget(&two).reserve(9_500, Duration::from_millis(600)).await;
-        assert!(held.is_ok(), "the call was not heard: {held:?}");
+        assert!(held.is_ok(), "the recall was not followed: {held:?}");
     });
 }
 
-/// Guards against refusing a request on the result of the settlement that opened the budget, which sends no call for
-/// tokens.
+/// Guards against denying a request because of the result of the settlement that opened the budget, which
+/// sends no recall.
 #[test]
-fn a_request_just_after_its_budget_was_opened_waits_for_tokens_of_other_routers() {
+fn a_request_just_after_its_budget_was_opened_waits_for_tokens_of_other_gateways() {
     net::exec::block_on(async {
         let rows = TableRows::default();
-        let (one, two) = (started("vm-1", &rows, 1, 10_000), started("vm-2", &rows, 1, 10_000));
-        drop(budget(&one).reserve(1_000, PATIENCE).await.expect("tokens"));
-        until(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
+        let (one, two) = (start_gateway("vm-1", &rows, 1, 10_000), start_gateway("vm-2", &rows, 1, 10_000));
+        drop(budget(&one).reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens"));
+        wait_for_pool(&rows, "the first gateway holds its share", |pool| pool.outstanding >= 3_000).await;
         let budget = budget(&two);
         for _ in 0..2_000 {
             if budget.lock().latest_settlement.succeeded {
@@ -227,7 +240,7 @@
             net::exec::sleep(Duration::from_millis(1)).await;
         }
         assert!(budget.lock().latest_settlement.succeeded, "the budget was never opened");
-        let held = budget.reserve(9_500, PATIENCE).await;
-        assert!(held.is_ok(), "refused although the other gateway holds idle tokens: {held:?}");
+        let held = budget.reserve(9_500, RESERVE_TIMEOUT).await;
+        assert!(held.is_ok(), "denied although the other gateway holds idle tokens: {held:?}");
     });
 }
--- a/crates/gateway/tests/unit/support.rs
+++ b/crates/gateway/tests/unit/support.rs
@@ -1,15 +1,16 @@
-//! A node on rows in memory, with a language that is as plain as can be.
+//! A node whose store is in memory, and whose wire format is plain text.
 
 use crate::manifest::{Manifest, Team};
 use crate::node::Node;
-use crate::notes::{Progress, Recovery};
+use crate::notes::{Recovery, RecoveryProgress};
 use crate::ports::{Ask, Dispatch, Listing, Malformed, Reply, Wire};
 use crate::settings::{Bounds, Listen, Settings};
 use http::{HeaderMap, request, response};
 use standin::TableRows;
 use std::sync::Arc;
 
-/// A language in which an upstream's row is "service address [leaving] [started=N] [warmup=N]", or else unfit.
+/// A wire format in which the row of an upstream is "service address [leaving] [started=N] [warmup=N]". Other
+/// rows are malformed.
 pub(crate) struct PlainTextWire;
 
 impl Wire for PlainTextWire {
@@ -79,7 +80,7 @@
     fn label(&self, _: &str, _: &mut HeaderMap) {}
 }
 
-/// A node that runs no tasks of its own.
+/// A node without background tasks.
 pub(crate) fn node(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     net::exec::start(2);
     let address = standin::loopback();
@@ -108,13 +109,13 @@
     Manifest { version, teams: teams.iter().map(team).collect(), ..Manifest::default() }
 }
 
-/// Closes first what was noted, then the rest, as far as the store answers.
+/// Closes the accounts that the previous note names, then the others, until the store fails.
 pub(crate) async fn recover_all(
     recovery: &mut Recovery,
     node: &Node<PlainTextWire, TableRows>,
     manifest: &Manifest,
 ) -> Result<(), store::Error> {
     recovery.close_noted(node, manifest).await?;
-    while let Progress::Closed = recovery.close_next(node, manifest).await? {}
+    while let RecoveryProgress::Closed = recovery.close_next(node, manifest).await? {}
     Ok(())
 }
