--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -42,8 +42,7 @@
 /// A usage note.
 #[derive(Debug, Default, Deserialize, Serialize)]
 struct Note {
-    /// A time at which the note was not sent yet, or was just being sent, in milliseconds of the store's
-    /// clock.
+    /// A time no later than when the note was sent, in milliseconds of the store's clock.
     at: u64,
     /// The schedules by team and account: the accounts of a gateway have the same name in the partition of
     /// each team.
--- a/crates/gateway/src/peer_reservations.rs
+++ b/crates/gateway/src/peer_reservations.rs
@@ -33,7 +33,7 @@
 /// left for the network, and for the store if the owner does not answer.
 const OWNER_TIMEOUT_RATIO: f64 = 0.6;
 /// The number of unused connections to an owner that are kept, and for how long. With so few of them, here
-/// and to gateways that make store calls for others, 295 gateways held 169 GB s of memory instead of 288 GB s
+/// and to gateways that make store calls for others, 295 gateways held 169 GB × s of memory instead of 288
 /// over a day with a network partition and a loss of all.
 const IDLE_CONNECTIONS: (usize, Duration) = (2, Duration::from_secs(10));
 /// The largest message between gateways, in bytes.
