--- /dev/null
+++ b/crates/gateway/src/budget_state.rs
@@ -0,0 +1,324 @@
+//! The state of one budget on this gateway, and the decisions on it: what may be reserved, what the next
+//! settlement requests, and what the next usage note allows.
+
+use crate::settle::SETTLE_INTERVAL;
+use budget::demand::{Demand, Terms, is_off_target};
+use budget::exposure::{Notes, Outlook, Schedule};
+use budget::grant::{Grant, Reserve};
+use budget::ledger::{Account, Batch, Level, Pool};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+// Most of the ratios and times below were tuned together on the standard days of two deployments, not one by
+// one: see the table in docs/design/platform.md.
+
+/// The largest number of charges settled in one batch.
+const MAX_BATCH_CHARGES: usize = 64;
+/// The demand that a gateway holds tokens for, in seconds, so that requests need no call to the store and
+/// outages of it are bridged. Covers the longest network partitions that were seen on the platform.
+const DEMAND_COVER_S: u64 = 10;
+/// A budget counts as nearly spent if less than this fraction of it is left.
+const NEARLY_SPENT_RATIO: f64 = 0.08;
+/// The largest fraction of what is left of a budget that all gateways together hold; the rest stays in the
+/// pool, which is out of reach during a network partition.
+const MAX_HELD_RATIO: f64 = 0.75;
+/// Up to this fraction left, a budget counts as scarce: the less is left, the fewer idle tokens gateways keep
+/// if others need some, in proportion.
+const SCARCE_BELOW_RATIO: f64 = 0.5;
+/// The fraction of a budget that each gateway is assumed to have used at the start, so that the first
+/// requests alone do not decide how the budget is divided.
+const PRIOR_USE_RATIO: f64 = 0.005;
+/// The largest fraction of its idle tokens that a gateway keeps if others need some. Below one half, since
+/// only a gateway that holds more than twice its target returns tokens; above zero, since in a large fleet
+/// the returns of all gateways add up to far more than one of them needs.
+const MAX_KEPT_RATIO: f64 = 0.45;
+/// The largest fraction of a budget that may be idle on other gateways although none of it can be had. If
+/// less than this would be left beside a denied request, the budget counts as spent.
+const IDLE_ELSEWHERE_RATIO: f64 = 0.03;
+/// The shortest interval between two recalls of one budget, in milliseconds: right after a recall the other
+/// gateways have no idle tokens left.
+const RECALL_INTERVAL_MS: u64 = 1_000;
+/// The same for each gateway that settles the budget: all of them respond to a recall with a write to the
+/// budget's partition.
+const RECALL_INTERVAL_PER_WRITER_MS: u64 = 25;
+
+#[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
+pub(crate) enum DenialReason {
+    /// What is left of the budget does not cover the worst case of the request.
+    Spent,
+    /// The store does not answer, and this gateway holds too few tokens or its notes allow too little use.
+    Away,
+    /// Other gateways hold what is left and are going to return it.
+    Elsewhere,
+}
+
+/// The rows of a budget as last read or written.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct BudgetRows {
+    pub pool: Pool,
+    pub pool_version: u64,
+    pub account: Account,
+    pub account_version: u64,
+    pub is_current: bool,
+}
+
+/// The result of a settlement.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct SettlementResult {
+    /// When it began, as told by [`BudgetState::now`].
+    pub began_ms: u64,
+    /// Its number, counted from 1.
+    pub number: u64,
+    pub succeeded: bool,
+    pub pool_free: u64,
+}
+
+/// The state of one budget on this gateway.
+#[derive(Debug)]
+pub(crate) struct BudgetState {
+    started: Instant,
+    pub grant: Grant,
+    pub demand: Demand,
+    /// The growth of the use that notes limit, including reservations. It rises before `demand` does, by the
+    /// duration of the requests.
+    use_growth: Demand,
+    /// The highest use seen when `use_growth` was updated.
+    max_used: u64,
+    pub level: Level,
+    pub is_level_lowered: bool,
+    pub waiting_tokens: u64,
+    /// The longest time for which charges may wait for a settlement, in milliseconds.
+    record_ms: u64,
+    /// The number of settlements begun so far.
+    pub settlements_begun: u64,
+    /// The most tokens that another gateway lacked in the recalls since the last batch, if there were any.
+    pub recalled_tokens: Option<u64>,
+    /// Tokens that earlier processes of this VM used and settled.
+    pub earlier_use: u64,
+    /// When any gateway last sent a recall, as far as this one knows, as told by [`BudgetState::now`].
+    pub last_recall_ms: Option<u64>,
+    pub rows: BudgetRows,
+    pub open_batch: Option<Batch>,
+    pub latest_settlement: SettlementResult,
+    last_tick: Instant,
+    /// The number of accounts of this process that other gateways have closed.
+    pub generation: u64,
+    /// The usage notes that apply to the current account.
+    pub notes: Notes,
+}
+
+impl BudgetState {
+    /// Creates the state of a budget without tokens.
+    pub(crate) fn new(level: Level, record_ms: u64) -> BudgetState {
+        let started = Instant::now();
+        BudgetState {
+            started,
+            grant: Grant::default(),
+            demand: Demand::default(),
+            use_growth: Demand::default(),
+            max_used: 0,
+            level,
+            is_level_lowered: false,
+            waiting_tokens: 0,
+            record_ms,
+            settlements_begun: 0,
+            recalled_tokens: None,
+            earlier_use: 0,
+            last_recall_ms: None,
+            rows: BudgetRows::default(),
+            open_batch: None,
+            latest_settlement: SettlementResult::default(),
+            last_tick: started,
+            generation: 0,
+            notes: Notes::default(),
+        }
+    }
+
+    /// Whether to send a recall to the other gateways now. If so, records its time.
+    pub(crate) fn try_start_recall(&mut self, now: u64, writers: u64) -> bool {
+        let is_due = !self.has_recent_recall(now, writers);
+        if is_due {
+            self.last_recall_ms = Some(now);
+        }
+        is_due
+    }
+
+    /// Whether the last known recall is too recent for another one.
+    pub(crate) fn has_recent_recall(&self, now: u64, writers: u64) -> bool {
+        let again = RECALL_INTERVAL_MS.max(writers * RECALL_INTERVAL_PER_WRITER_MS);
+        self.last_recall_ms.is_some_and(|asked_ms| now.saturating_sub(asked_ms) < again)
+    }
+
+    /// Whether no tokens are held, in use or waiting to be settled.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.open_batch.is_none() && self.grant.in_use() == 0 && self.grant.available() == 0
+    }
+
+    /// Reserves tokens if this gateway holds them and its notes allow their use.
+    pub(crate) fn reserve(&mut self, tokens: u64) -> bool {
+        !self.exceeds_note_limit(tokens) && self.grant.reserve(tokens) == Reserve::Held
+    }
+
+    /// Whether using `tokens` more would exceed the limit of the notes.
+    pub(crate) fn exceeds_note_limit(&self, tokens: u64) -> bool {
+        self.grant.used().saturating_add(tokens) > self.note_limit()
+    }
+
+    /// The highest use that the notes allow now.
+    pub(crate) fn note_limit(&self) -> u64 {
+        self.notes.limit(self.now())
+    }
+
+    /// Milliseconds since the budget was opened, starting at 1; 0 stands for "never".
+    pub(crate) fn now(&self) -> u64 {
+        self.started.elapsed().as_millis() as u64 + 1
+    }
+
+    /// The schedule of the next note, which takes about `note_ms` to be acknowledged. `owners` is the number
+    /// of gateways that own the budget.
+    pub(crate) fn schedule(&self, note_ms: u64, owners: u64) -> Schedule {
+        Schedule::plan(&Outlook {
+            used: self.grant.used(),
+            charged: self.grant.charged(),
+            waiting: self.waiting_tokens,
+            available: self.grant.available(),
+            left: self.unspent(),
+            owners,
+            rate: self.demand.rate().max(self.use_growth.rate()),
+            note_ms,
+        })
+    }
+
+    /// Updates the averages with the use of the last `elapsed_ms` milliseconds.
+    fn update_averages(&mut self, elapsed_ms: u64) {
+        let used = self.grant.used();
+        self.use_growth.consume(used.saturating_sub(self.max_used));
+        self.max_used = self.max_used.max(used);
+        self.use_growth.tick(elapsed_ms);
+        self.demand.tick(elapsed_ms);
+        self.last_tick = Instant::now();
+    }
+
+    /// Why `tokens` can't be reserved, if the latest settlement shows that.
+    pub(crate) fn denial_reason(&self, tokens: u64) -> Option<DenialReason> {
+        let latest = &self.latest_settlement;
+        if !latest.succeeded || latest.pool_free + self.grant.available() + self.grant.returning() >= tokens {
+            return None;
+        }
+        let idle = (self.level.tokens as f64 * IDLE_ELSEWHERE_RATIO) as u64;
+        let pool = &self.rows.pool;
+        let left = self.level.tokens.saturating_sub(pool.spent + self.grant.in_use());
+        Some(if left < tokens + idle { DenialReason::Spent } else { DenialReason::Elsewhere })
+    }
+
+    /// The number of available tokens that this gateway should have: its share of what is left, so that it
+    /// can serve requests during a network partition or an outage of the store. Zero if the budget is nearly
+    /// spent, since then every token has to be within reach of every gateway. A gateway that does not own the
+    /// budget has drawn tokens only because its owners did not answer, and holds what its own requests used
+    /// recently.
+    fn target_tokens(&self, now: u64, team: &str, terms: &Terms, owners: u64) -> u64 {
+        let left = self.unspent() as f64;
+        if left < self.level.tokens as f64 * NEARLY_SPENT_RATIO {
+            return 0;
+        }
+        let max_held = left * MAX_HELD_RATIO;
+        let share = if owners == 0 { 0.0 } else { self.use_share(team, owners) };
+        let target = self.demand.target(now, terms).min(max_held as u64).max((max_held * share) as u64);
+        match self.rows.pool.wanted {
+            // Free tokens are left to the requests that wait for them.
+            true => self.kept(target).min(self.grant.available()),
+            false => target,
+        }
+    }
+
+    /// The idle tokens that this gateway keeps if another one lacks `missing` tokens.
+    fn kept_after_recall(&self, missing: u64) -> u64 {
+        let idle = self.grant.available();
+        self.kept(idle).min(idle.saturating_sub(missing))
+    }
+
+    /// The part of `tokens` that a gateway keeps if others need some: the less of the budget is left, the
+    /// smaller.
+    fn kept(&self, tokens: u64) -> u64 {
+        (tokens as f64 * MAX_KEPT_RATIO * self.abundance()) as u64
+    }
+
+    /// The tokens of the budget that are not spent, in the pool and on all gateways, as far as this gateway
+    /// knows.
+    fn unspent(&self) -> u64 {
+        self.level.tokens.saturating_sub(self.rows.pool.spent)
+    }
+
+    /// From 0 for a spent budget to 1 for one that is not scarce.
+    fn abundance(&self) -> f64 {
+        (self.unspent() as f64 / (self.level.tokens as f64 * SCARCE_BELOW_RATIO).max(1.0)).min(1.0)
+    }
+
+    /// This gateway's share of the use of all owners so far. It predicts future use, since the requests of a
+    /// team keep arriving at the same gateways.
+    fn use_share(&self, team: &str, owners: u64) -> f64 {
+        let own = self.rows.account.lines.get(team).map_or(0, |line| line.spent) + self.earlier_use;
+        let prior = (self.level.tokens as f64 * PRIOR_USE_RATIO).max(1.0);
+        let all = (self.rows.pool.spent.max(own)) as f64 + prior * owners as f64;
+        (own as f64 + prior) / all
+    }
+
+    /// Opens the next batch if one is due, or returns the one that is already open.
+    pub(crate) fn next_batch(&mut self, team: &str, now: u64, closing: bool, owners: u64) -> Option<Batch> {
+        if let Some(batch) = &self.open_batch {
+            return Some(batch.clone());
+        }
+        let elapsed = self.last_tick.elapsed();
+        if elapsed >= SETTLE_INTERVAL / 2 {
+            self.update_averages(elapsed.as_millis() as u64);
+        }
+        let terms = Terms { cover_s: DEMAND_COVER_S, least: 0, expose_s: DEMAND_COVER_S };
+        let target = match self.target_tokens(now, team, &terms, owners) {
+            _ if closing || self.is_level_lowered => 0,
+            target => match self.recalled_tokens {
+                Some(missing) => target.min(self.kept_after_recall(missing)),
+                None => target,
+            },
+        };
+        // Tokens that waiting requests are about to reserve are not excess.
+        let target = target.max(self.waiting_tokens.min(self.grant.available()));
+        let need = self.waiting_tokens.saturating_sub(self.grant.usable());
+        let is_off = is_off_target(self.grant.available(), target, Some(self.latest_settlement.pool_free));
+        let level_is_new = self.rows.pool.level.is_none_or(|known| known.version < self.level.version)
+            && self.rows.pool.level.is_none_or(|known| known.tokens != self.level.tokens);
+        let is_overdue = closing || now.saturating_sub(self.latest_settlement.began_ms) >= self.record_ms;
+        let is_due = need > 0 || is_off || level_is_new || (is_overdue && self.grant.is_dirty());
+        if !is_due {
+            return None;
+        }
+        self.is_level_lowered = false;
+        self.recalled_tokens = None;
+        let spare = target.max(self.grant.available());
+        let entry = self.grant.open(target, need, spare, vec![], MAX_BATCH_CHARGES)?;
+        let sequence = self.rows.account.sequence + 1;
+        let batch =
+            Batch { sequence, entries: BTreeMap::from([(team.to_owned(), entry)]), ..Batch::default() };
+        self.open_batch = Some(batch.clone());
+        Some(batch)
+    }
+
+    /// Closes the open batch, which the account row now contains.
+    pub(crate) fn close_batch(&mut self, team: &str) {
+        self.open_batch = None;
+        let line = self.rows.account.lines.get(team).copied().unwrap_or_default();
+        self.grant.close(&line);
+    }
+
+    /// Starts a new account after another gateway closed the current one. What that one exposed does not
+    /// return to the pool.
+    pub(crate) fn reset_account(&mut self) {
+        self.generation += 1;
+        self.notes = Notes::default();
+        self.grant = Grant::default();
+        self.max_used = 0;
+        self.open_batch = None;
+        self.rows.account = Account::default();
+        self.rows.account_version = 0;
+    }
+}
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -2,17 +2,17 @@
 
 use crate::attempt::Outcome;
 use crate::body::AnswerBody;
-use crate::delegate::{self, Denial};
+use crate::budget_state::DenialReason;
 use crate::event::EventSplitter;
-use crate::holding::Denied;
 use crate::job::{Admitted, Job, TokenMeter};
 use crate::manifest::Lookup;
 use crate::node::{Node, Phase};
+use crate::peer_reservations::{self, Denial};
 use crate::ports::{Ask, Wire};
-use crate::purse::Reservation;
 use crate::quarantine::{self, Check};
 use crate::refusal::Refusal;
 use crate::relay::Relay;
+use crate::team_budget::Reservation;
 use budget::ledger::Level;
 use http::header::{CONNECTION, HeaderValue};
 use http::{Request, Response};
@@ -129,9 +129,9 @@
         Ok(reservation) => reservation,
         Err((denied, ready_ms, detail)) => {
             let refusal = match denied {
-                Denied::Spent => Refusal::BudgetExhausted,
-                Denied::Away => Refusal::BudgetUnavailable(ready_ms),
-                Denied::Elsewhere => Refusal::BudgetHeldElsewhere(ready_ms),
+                DenialReason::Spent => Refusal::BudgetExhausted,
+                DenialReason::Away => Refusal::BudgetUnavailable(ready_ms),
+                DenialReason::Elsewhere => Refusal::BudgetHeldElsewhere(ready_ms),
             };
             let team = team.as_ref().map_or("-", |team| team.name.as_str());
             return Err(refused(refusal, &format!("team={team} route={} {version} {detail}", route.name)));
@@ -156,7 +156,8 @@
     let lifetime = Duration::from_millis(ask.wait_ms.unwrap_or(u64::MAX).min(route.timeout_ms));
     let stride = manifest.services.get(service).map_or(1, |service| service.stride);
     let purse = || node.purse(manifest, team);
-    delegate::reserve(node, purse, &team.name, level, prompt.max_tokens(stride), max_wait, lifetime).await
+    peer_reservations::reserve(node, purse, &team.name, level, prompt.max_tokens(stride), max_wait, lifetime)
+        .await
 }
 
 /// What to do after an attempt.
