--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,72 +1,73 @@
-//! Answers of the router's own.
+//! Answers that the gateway gives instead of an upstream.
 
-use crate::body::Body;
+use crate::body::WholeBody;
 use http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{Response, StatusCode};
 use hyper::body::Bytes;
 use route::quarantine::GATHER_MS;
 
-/// Why the router answers a request itself.
+/// Why the gateway answers a request itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Refusal {
-    /// The request is not well-formed.
+    /// The request is malformed.
     Malformed,
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// It has no known access key.
-    NoKey,
-    /// Its body is too long.
-    TooLong,
-    /// The caller broke its body off.
-    BodyBroken,
-    /// Whether it ends upstreams is being decided on.
-    Undecided,
-    /// Upstreams ended while they ran it, so it is not run again.
+    /// The request has no known access key.
+    NoAccessKey,
+    /// The request's body is too large.
+    BodyTooLarge,
+    /// The caller did not send the whole body.
+    BodyIncomplete,
+    /// It is not decided yet whether the request is quarantined.
+    QuarantinePending,
+    /// Upstreams terminated while they ran the request, so it is not run again.
     Quarantined,
-    /// The budget can't hold it at its most.
-    BudgetSpent,
-    /// Tokens are left, but none can be had now; when that may change, in milliseconds.
-    BudgetAway(u64),
-    /// Other routers hold the tokens that are left; when that may change, in milliseconds.
-    BudgetElsewhere(u64),
-    /// No manifest is known yet.
+    /// The budget does not cover the most tokens that the request may use.
+    BudgetExhausted,
+    /// The budget has tokens left, but none are available now; the time until that may change, in
+    /// milliseconds.
+    BudgetUnavailable(u64),
+    /// Other gateways hold the tokens that are left; the time until that may change, in milliseconds.
+    BudgetHeldElsewhere(u64),
+    /// No manifest has been read yet.
     NotConfigured,
-    /// The manifest in force does not allow it, but a newer one is on its way.
-    Changing,
-    /// This router is stopping.
+    /// The manifest in force does not allow the request, but a newer one is being read.
+    ManifestChanging,
+    /// This gateway is stopping.
     Stopping,
-    /// No upstream serves it now.
+    /// No upstream can serve the request now.
     NoUpstream,
-    /// Every upstream that serves it asked for rest or has reached its request limit; the time until the first one
+    /// Every upstream of the service is backing off or at its request limit; the time until the first one
     /// accepts requests again, in milliseconds.
-    Resting(u64),
-    /// Every upstream tried refused it or could not be reached.
+    UpstreamsUnavailable(u64),
+    /// Every upstream that was tried refused the request or could not be reached.
     NotRun,
-    /// It was sent, and its time ran out.
+    /// The request was dispatched, and its deadline passed.
     TimedOut,
-    /// It was sent, and no whole answer came.
+    /// The request was dispatched, and no complete answer arrived.
     Failed,
 }
 
 impl Refusal {
-    /// The name in logs and metrics.
+    /// The name in answers, logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Refusal::Malformed => "malformed",
             Refusal::NoRoute => "no-route",
-            Refusal::NoKey => "no-key",
-            Refusal::TooLong => "too-long",
-            Refusal::BodyBroken => "body-broken",
-            Refusal::Undecided => "undecided",
+            Refusal::NoAccessKey => "no-key",
+            Refusal::BodyTooLarge => "too-long",
+            Refusal::BodyIncomplete => "body-broken",
+            Refusal::QuarantinePending => "undecided",
             Refusal::Quarantined => "quarantined",
-            Refusal::BudgetSpent => "budget-spent",
-            Refusal::BudgetAway(_) => "budget-away",
-            Refusal::BudgetElsewhere(_) => "budget-elsewhere",
+            Refusal::BudgetExhausted => "budget-spent",
+            Refusal::BudgetUnavailable(_) => "budget-away",
+            Refusal::BudgetHeldElsewhere(_) => "budget-elsewhere",
             Refusal::NotConfigured => "not-configured",
-            Refusal::Changing => "changing",
+            Refusal::ManifestChanging => "changing",
             Refusal::Stopping => "stopping",
             Refusal::NoUpstream => "no-upstream",
-            Refusal::Resting(_) => "resting",
+            Refusal::UpstreamsUnavailable(_) => "resting",
             Refusal::NotRun => "not-run",
             Refusal::TimedOut => "timed-out",
             Refusal::Failed => "failed",
@@ -75,35 +76,35 @@
 
     fn status(self) -> StatusCode {
         match self {
-            // A caller that sends the same again gets the same answer: no status says that it may try later.
-            Refusal::Malformed | Refusal::BodyBroken | Refusal::Quarantined => StatusCode::BAD_REQUEST,
+            // The same request gets the same answer again, so the status must not suggest a retry.
+            Refusal::Malformed | Refusal::BodyIncomplete | Refusal::Quarantined => StatusCode::BAD_REQUEST,
             Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::NoKey => StatusCode::UNAUTHORIZED,
-            Refusal::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::BudgetSpent => StatusCode::PAYMENT_REQUIRED,
-            Refusal::BudgetAway(_)
-            | Refusal::BudgetElsewhere(_)
-            | Refusal::Undecided
+            Refusal::NoAccessKey => StatusCode::UNAUTHORIZED,
+            Refusal::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Refusal::BudgetExhausted => StatusCode::PAYMENT_REQUIRED,
+            Refusal::BudgetUnavailable(_)
+            | Refusal::BudgetHeldElsewhere(_)
+            | Refusal::QuarantinePending
             | Refusal::NotConfigured
-            | Refusal::Changing
+            | Refusal::ManifestChanging
             | Refusal::Stopping
             | Refusal::NoUpstream
-            | Refusal::Resting(_)
+            | Refusal::UpstreamsUnavailable(_)
             | Refusal::NotRun => StatusCode::SERVICE_UNAVAILABLE,
             Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             Refusal::Failed => StatusCode::BAD_GATEWAY,
         }
     }
 
-    /// When coming back may help, in milliseconds: the time that each cause usually lasts.
+    /// The time after which a retry may succeed, in milliseconds: how long each cause usually lasts.
     fn retry_ms(self) -> Option<u64> {
         match self {
-            Refusal::BudgetAway(millis) | Refusal::BudgetElsewhere(millis) | Refusal::Resting(millis) => {
-                Some(millis)
-            }
-            Refusal::Undecided => Some(2 * GATHER_MS),
+            Refusal::BudgetUnavailable(millis)
+            | Refusal::BudgetHeldElsewhere(millis)
+            | Refusal::UpstreamsUnavailable(millis) => Some(millis),
+            Refusal::QuarantinePending => Some(2 * GATHER_MS),
             Refusal::NotConfigured => Some(500),
-            Refusal::Changing => Some(500),
+            Refusal::ManifestChanging => Some(500),
             Refusal::Stopping => Some(50),
             Refusal::NoUpstream => Some(500),
             Refusal::NotRun => Some(200),
@@ -111,7 +112,7 @@
         }
     }
 
-    /// What the caller should know beside the name.
+    /// An explanation for the caller in addition to the name.
     fn detail(self) -> Option<&'static str> {
         match self {
             Refusal::Quarantined => {
@@ -121,8 +122,7 @@
         }
     }
 
-    /// The answer.
-    pub(crate) fn response(self) -> Response<Body> {
+    pub(crate) fn response(self) -> Response<WholeBody> {
         let mut body = serde_json::json!({"error": self.name()});
         if let Some(detail) = self.detail() {
             body["detail"] = detail.into();
--- a/crates/gateway/tests/unit/support.rs
+++ b/crates/gateway/tests/unit/support.rs
@@ -1,23 +1,24 @@
-//! A node on rows in memory, with a language that is as plain as can be.
+//! A node whose store is in memory, and whose wire format is plain text.
 
 use crate::manifest::{Manifest, Team};
 use crate::node::Node;
-use crate::notes::{Next, Recovery};
-use crate::ports::{Ask, Dispatch, Listing, Malformed, Reply, Wire};
+use crate::notes::{Recovery, RecoveryProgress};
+use crate::ports::{Ask, Dispatch, Listing, Malformed, ResponseCheck, Wire};
 use crate::settings::{Bounds, Listen, Settings};
 use http::{HeaderMap, request, response};
 use standin::TableRows;
 use std::sync::Arc;
 
-/// A language in which an upstream's row is "service address [leaving] [started=N] [warmup=N]", or else unfit.
-pub(crate) struct Plain;
+/// A wire format in which the row of an upstream is "service address [leaving] [started=N] [warmup=N]". Other
+/// rows are malformed.
+pub(crate) struct PlainTextWire;
 
-impl Wire for Plain {
+impl Wire for PlainTextWire {
     fn manifest_row(&self) -> (&str, &str) {
         ("operator", "manifest")
     }
 
-    fn evacuated<'a>(&self, key: &'a str) -> Option<&'a str> {
+    fn evacuated_data_centre<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix("evacuated ")
     }
 
@@ -25,13 +26,13 @@
         "upstreams"
     }
 
-    fn manifest(&self, bytes: &[u8]) -> Result<Manifest, Malformed> {
+    fn decode_manifest(&self, bytes: &[u8]) -> Result<Manifest, Malformed> {
         let text = String::from_utf8_lossy(bytes);
         let version = text.parse().map_err(|_| Malformed { step: "manifest", reason: text.to_string() })?;
         Ok(Manifest { version, ..Manifest::default() })
     }
 
-    fn listing(&self, bytes: &[u8]) -> Result<Listing, Malformed> {
+    fn decode_listing(&self, bytes: &[u8]) -> Result<Listing, Malformed> {
         let text = String::from_utf8_lossy(bytes);
         let words: Vec<&str> = text.split(' ').collect();
         Ok(Listing {
@@ -48,23 +49,23 @@
         })
     }
 
-    fn ask(&self, _: &request::Parts) -> Result<Ask, Malformed> {
+    fn decode_request(&self, _: &request::Parts) -> Result<Ask, Malformed> {
         Ok(Ask::default())
     }
 
-    fn dispatch(&self, caller: &HeaderMap, _: &Dispatch<'_>) -> HeaderMap {
+    fn dispatch_headers(&self, caller: &HeaderMap, _: &Dispatch<'_>) -> HeaderMap {
         caller.clone()
     }
 
-    fn reply(&self, _: &response::Parts, _: &str) -> Reply {
-        Reply::Sound
+    fn check_response(&self, _: &response::Parts, _: &str) -> ResponseCheck {
+        ResponseCheck::Valid
     }
 
-    fn leaves(&self, _: &response::Parts) -> bool {
+    fn is_leaving(&self, _: &response::Parts) -> bool {
         false
     }
 
-    fn rest_ms(&self, _: &response::Parts) -> Result<Option<u64>, Malformed> {
+    fn retry_after_ms(&self, _: &response::Parts) -> Result<Option<u64>, Malformed> {
         Ok(None)
     }
 
@@ -76,11 +77,11 @@
         Ok(None)
     }
 
-    fn label(&self, _: &str, _: &mut HeaderMap) {}
+    fn add_request_id(&self, _: &str, _: &mut HeaderMap) {}
 }
 
-/// A node that runs no tasks of its own.
-pub(crate) fn node(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<Plain, TableRows>> {
+/// A node without background tasks.
+pub(crate) fn node(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     net::exec::start(2);
     let address = standin::loopback();
     let settings = Settings {
@@ -96,7 +97,7 @@
         bounds: Bounds::default(),
     };
     let (note, _) = async_channel::bounded(1);
-    Arc::new(Node::new(settings, incarnation, Plain, rows.clone(), note))
+    Arc::new(Node::new(settings, incarnation, PlainTextWire, rows.clone(), note))
 }
 
 /// A manifest with these teams and their prepaid tokens.
@@ -108,13 +109,13 @@
     Manifest { version, teams: teams.iter().map(team).collect(), ..Manifest::default() }
 }
 
-/// Closes first what was noted, then the rest, as far as the store answers.
-pub(crate) async fn go_on(
+/// Closes the accounts that the previous note names, then the others, until the store fails.
+pub(crate) async fn recover_all(
     recovery: &mut Recovery,
-    node: &Node<Plain, TableRows>,
+    node: &Node<PlainTextWire, TableRows>,
     manifest: &Manifest,
 ) -> Result<(), store::Error> {
     recovery.close_noted(node, manifest).await?;
-    while let Next::Closed = recovery.close_next(node, manifest).await? {}
+    while let RecoveryProgress::Closed = recovery.close_next(node, manifest).await? {}
     Ok(())
 }
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams around outages of the store.
 
 use super::*;
-use crate::support::{Plain, node};
+use crate::support::{PlainTextWire, node};
 use standin::{RowsFault, TableRows};
 
 const TABLE: &str = "upstreams";
@@ -12,7 +12,7 @@
     }
 }
 
-async fn until(node: &Node<Plain, TableRows>, what: &str, count: usize) -> u64 {
+async fn until(node: &Node<PlainTextWire, TableRows>, what: &str, count: usize) -> u64 {
     let began = node.now();
     for _ in 0..400 {
         if node.listings().len() == count {
@@ -23,7 +23,7 @@
     panic!("{what}: {} upstreams are listed", node.listings().len());
 }
 
-fn followed(rows: &TableRows) -> Arc<Node<Plain, TableRows>> {
+fn followed(rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node("vm-1", 1, rows);
     exec::spawn(upstreams(node.clone())).detach();
     node
@@ -163,7 +163,7 @@
     });
 }
 
-async fn evacuated(node: &Node<Plain, TableRows>, what: &str, expected: &[&str]) {
+async fn evacuated(node: &Node<PlainTextWire, TableRows>, what: &str, expected: &[&str]) {
     for _ in 0..300 {
         if node.places().evacuated().eq(expected.iter().copied()) {
             return;
@@ -202,7 +202,7 @@
         operator(&rows, "evacuated here", "{}");
         evacuated(&first, "after a whole read", &["here"]).await;
         rows.set_fault(RowsFault::None);
-        assert_eq!(first.metrics.evacuated.get(), 1);
+        assert_eq!(first.metrics.data_centres_evacuated.get(), 1);
 
         let next = node("vm-1", 2, &rows);
         exec::spawn(manifest(next.clone())).detach();
