--- a/crates/emulator/src/deadly.rs
+++ b/crates/emulator/src/deadly.rs
@@ -5,8 +5,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 use route::Millis;
-use route::quarantine::{Fingerprint, GATHER_MS, MOST_ENDED, Quarantine, Stage, Verdict};
-use route::word::{Audience, Bound, Reaction, Word, deciders};
+use route::notice::{FollowUp, Notice, NoticeLimiter, Recipients, coordinators};
+use route::quarantine::{DECISION_DELAY_MS, DENIAL_THRESHOLD, Fingerprint, Quarantine, Stage, Verdict};
 
 /// The request that ends its engines.
 const DEADLY: u64 = u64::MAX;
@@ -26,13 +26,13 @@
     pub(crate) at: f64,
     pub(crate) router: usize,
     /// Another one's word; `None` if its own time to decide has come.
-    pub(crate) word: Option<Word>,
+    pub(crate) word: Option<Notice>,
 }
 
 /// What the routers know, and what came of it.
 pub(crate) struct Watch {
     quarantines: Vec<Quarantine>,
-    bounds: Vec<Bound>,
+    bounds: Vec<NoticeLimiter>,
     names: Vec<String>,
     /// How often each engine ended: another life of it has another name.
     lives: Vec<u32>,
@@ -52,7 +52,7 @@
     pub(crate) fn new(routers: usize, engines: usize) -> Watch {
         Watch {
             quarantines: vec![Quarantine::default(); routers],
-            bounds: vec![Bound::default(); routers],
+            bounds: vec![NoticeLimiter::default(); routers],
             names: (0..routers).map(|router| format!("router-{router}")).collect(),
             lives: vec![0; engines],
             third: None,
@@ -92,7 +92,7 @@
         if self.quarantines[router].is_empty() {
             return messages;
         }
-        if let Some(word) = self.quarantines[router].outlived(fingerprint(number)) {
+        if let Some(word) = self.quarantines[router].record_survival(fingerprint(number)) {
             self.tell(router, &word, now, random, &mut messages);
         }
         messages
@@ -112,7 +112,7 @@
         self.lives[engine] += 1;
         if of.is_some() {
             self.outcome.ended += 1;
-            if self.outcome.ended == MOST_ENDED as u64 {
+            if self.outcome.ended == DENIAL_THRESHOLD as u64 {
                 self.third = Some(now);
             }
             let is_late = self.third.is_some_and(|third| now > third + CONTACT_MS);
@@ -123,7 +123,8 @@
         for (router, number, begun_ms) in deadly.into_iter().chain(beside.iter().copied()) {
             let Some(stage) = Stage::of(begun_ms) else { continue };
             let now_ms = now as Millis;
-            let reaction = self.quarantines[router].observe(fingerprint(number), &upstream, stage, now_ms);
+            let reaction =
+                self.quarantines[router].observe_crash(fingerprint(number), &upstream, stage, now_ms);
             self.react(router, reaction, now, random, &mut messages);
         }
         messages
@@ -133,12 +134,12 @@
     pub(crate) fn hear(
         &mut self,
         router: usize,
-        word: &Word,
+        word: &Notice,
         now: f64,
         random: &mut SmallRng,
     ) -> Vec<Message> {
         self.outcome.words += 1;
-        let reaction = self.quarantines[router].hear(word, now as Millis);
+        let reaction = self.quarantines[router].apply(word, now as Millis);
         let mut messages = vec![];
         self.react(router, reaction, now, random, &mut messages);
         self.look(now);
@@ -150,12 +151,12 @@
         let mut messages = vec![];
         for denied in self.quarantines[router].decide(now as Millis) {
             self.outcome.innocent += u64::from(denied != fingerprint(DEADLY));
-            if !self.quarantines[router].is_own(denied) {
+            if !self.quarantines[router].is_firsthand(denied) {
                 continue;
             }
-            let upstreams = self.quarantines[router].denial(denied).unwrap_or_default();
-            let lasts_ms = route::quarantine::DENIED_MS;
-            let word = Word::Denied { fingerprint: denied, upstreams, lasts_ms };
+            let upstreams = self.quarantines[router].denied_upstreams(denied).unwrap_or_default();
+            let lasts_ms = route::quarantine::DENIAL_DURATION_MS;
+            let word = Notice::Denied { fingerprint: denied, upstreams, lasts_ms };
             self.tell(router, &word, now, random, &mut messages);
         }
         self.look(now);
@@ -176,33 +177,33 @@
     fn react(
         &mut self,
         router: usize,
-        reaction: Reaction,
+        reaction: FollowUp,
         now: f64,
         random: &mut SmallRng,
         messages: &mut Vec<Message>,
     ) {
-        if let Some(word) = &reaction.tell {
+        if let Some(word) = &reaction.notice {
             self.tell(router, word, now, random, messages);
         }
-        if reaction.is_due {
-            messages.push(Message { at: now + GATHER_MS as f64 + 1.0, router, word: None });
+        if reaction.is_decision_due {
+            messages.push(Message { at: now + DECISION_DELAY_MS as f64 + 1.0, router, word: None });
         }
     }
 
     fn tell(
         &mut self,
         from: usize,
-        word: &Word,
+        word: &Notice,
         now: f64,
         random: &mut SmallRng,
         messages: &mut Vec<Message>,
     ) {
         let routers = self.names.len();
         let others = (0..routers).filter(|router| *router != from);
-        let chosen: Vec<usize> = match self.bounds[from].audience(word, routers, now as Millis) {
-            Audience::All => others.collect(),
-            Audience::Deciders(request) => {
-                deciders(request, others.map(|router| (router, self.names[router].as_str())))
+        let chosen: Vec<usize> = match self.bounds[from].recipients(word, routers, now as Millis) {
+            Recipients::All => others.collect(),
+            Recipients::Coordinators(request) => {
+                coordinators(request, others.map(|router| (router, self.names[router].as_str())))
             }
         };
         for router in chosen {
--- a/crates/emulator/src/warming.rs
+++ b/crates/emulator/src/warming.rs
@@ -66,7 +66,7 @@
 
 fn gateway(index: usize, scene: &Return) -> Places {
     let mut places = Places::new("here");
-    let warmup = Warmup { per_s: PER_S, lasts_ms: LASTS_MS };
+    let warmup = Warmup { per_s: PER_S, duration_ms: LASTS_MS };
     places.set_warmups(HashMap::from([(SERVICE.to_owned(), warmup)]));
     for upstream in 0..scene.upstreams {
         let site = Site { service: SERVICE.to_owned(), data_centre: "here".to_owned(), slots: 48 };
@@ -77,8 +77,8 @@
     }
     let own = format!("vm-{index}");
     let names: Vec<String> = (0..scene.gateways).map(|other| format!("vm-{other}")).collect();
-    places.roster.read(&own, names.iter().map(String::as_str), Some(u64::MAX), 0, LASTS_MS);
-    places.roster.beat(0, 0, Roster::join_ms(LASTS_MS), LASTS_MS);
+    places.roster.update_list(&own, names.iter().map(String::as_str), Some(u64::MAX), 0, LASTS_MS);
+    places.roster.confirm_heartbeat(0, 0, Roster::join_delay_ms(LASTS_MS), LASTS_MS);
     places
 }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -6,8 +6,8 @@
 use crate::outcome::Outcome;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use route::notice::Notice;
 use route::place::{Chosen, Need, Part, Places, Prompt, Site, Ticket, Told};
-use route::word::Word;
 use route::{Millis, Pause, Pauses, Teller};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -82,7 +82,7 @@
     Divide,
     ArriveDeadly,
     BeginDeadly { router: usize, engine: usize },
-    Word { router: usize, word: Option<Word> },
+    Word { router: usize, word: Option<Notice> },
     Return { engine: usize },
     Depart { engine: usize },
 }
--- a/crates/gateway/src/denials.rs
+++ b/crates/gateway/src/denials.rs
@@ -5,7 +5,7 @@
 
 use crate::table::{decode, encode};
 use route::Millis;
-use route::quarantine::{DENIED_MS, Fingerprint, Upstreams};
+use route::quarantine::{DENIAL_DURATION_MS, Fingerprint, Upstreams};
 use serde::{Deserialize, Serialize};
 use store::rows::{Change, Key, Page, Record, Rows};
 
@@ -134,6 +134,6 @@
         return None;
     };
     let Entry { upstreams, since_ms, lifted: is_lifted } = decode(record)?;
-    let left_ms = DENIED_MS.saturating_sub(now_ms.saturating_sub(since_ms));
+    let left_ms = DENIAL_DURATION_MS.saturating_sub(now_ms.saturating_sub(since_ms));
     Some(Denial { fingerprint, upstreams, left_ms, is_lifted })
 }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -291,7 +291,7 @@
             return None;
         }
         let rest_ms = self.node.places().rests_ms(&self.request.service, self.node.now())?;
-        Some(Refusal::Resting(route::return_ms(rest_ms, xxh3_64(self.request.ask.id.as_bytes()))))
+        Some(Refusal::Resting(route::retry_after_ms(rest_ms, xxh3_64(self.request.ask.id.as_bytes()))))
     }
 
     /// Takes down that a dispatch reached nobody: it is neither a try nor a repeat.
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -7,8 +7,8 @@
 use crate::node::Node;
 use crate::ports::Wire;
 use bincode::Options;
+use route::notice::{Notice, NoticeLimiter, Recipients, coordinators};
 use route::place::Told;
-use route::word::{Audience, Bound, Word, deciders};
 use route::{Millis, Teller};
 use serde::{Deserialize, Serialize};
 use smol::net::UdpSocket;
@@ -36,7 +36,7 @@
     /// The engines of a service that are kept for short work, from the gateway that decides on it.
     Division { service: String, short: Vec<String> },
     /// What is known of a request that ends upstreams.
-    Quarantine(Word),
+    Quarantine(Notice),
     /// An upstream said in an answer that it leaves: the life that started then, if it says when.
     Leaving { upstream: String, started: Option<u64> },
     /// The request limit that an upstream names in its answers, in requests per second from all gateways together; `None`
@@ -79,7 +79,7 @@
     socket: Mutex<Option<Arc<UdpSocket>>>,
     peers: Mutex<Arc<Vec<SocketAddr>>>,
     teller: Mutex<Teller>,
-    bound: Mutex<Bound>,
+    bound: Mutex<NoticeLimiter>,
     next: Mutex<u64>,
     /// The last number of each peer.
     heard: Mutex<HashMap<SocketAddr, u64>>,
@@ -127,15 +127,15 @@
     }
 
     /// Tells of a request that ends upstreams.
-    pub(crate) fn warn(self: &Arc<Hints>, word: Word, now: Millis) {
+    pub(crate) fn warn(self: &Arc<Hints>, word: Notice, now: Millis) {
         let gateways = self.peers.lock().expect("the peers' lock").len() + 1;
-        let audience = self.bound.lock().expect("the bound's lock").audience(&word, gateways, now);
+        let audience = self.bound.lock().expect("the bound's lock").recipients(&word, gateways, now);
         self.repeat(Hint::Quarantine(word), audience);
     }
 
     /// Tells all that an upstream leaves.
     pub(crate) fn tell_leaving(self: &Arc<Hints>, upstream: &str, started: Option<u64>) {
-        self.repeat(Hint::Leaving { upstream: upstream.to_owned(), started }, Audience::All);
+        self.repeat(Hint::Leaving { upstream: upstream.to_owned(), started }, Recipients::All);
     }
 
     /// Tells all gateways once of an upstream's request limit, or of its end.
@@ -144,7 +144,7 @@
     }
 
     /// Sends a hint more than once, since datagrams are lost.
-    fn repeat(self: &Arc<Hints>, hint: Hint, audience: Audience) {
+    fn repeat(self: &Arc<Hints>, hint: Hint, audience: Recipients) {
         let hints = self.clone();
         net::exec::spawn(async move {
             for pause in PAUSES {
@@ -155,19 +155,19 @@
         .detach();
     }
 
-    fn audience(&self, audience: Audience) -> Arc<Vec<SocketAddr>> {
+    fn audience(&self, audience: Recipients) -> Arc<Vec<SocketAddr>> {
         let peers = self.peers.lock().expect("the peers' lock").clone();
         match audience {
-            Audience::All => peers,
-            Audience::Deciders(fingerprint) => {
-                Arc::new(deciders(fingerprint, peers.iter().map(|peer| (*peer, peer.to_string()))))
+            Recipients::All => peers,
+            Recipients::Coordinators(fingerprint) => {
+                Arc::new(coordinators(fingerprint, peers.iter().map(|peer| (*peer, peer.to_string()))))
             }
         }
     }
 
     /// Sends a hint to all peers.
     fn send(&self, hint: Hint) {
-        self.send_to(hint, self.audience(Audience::All));
+        self.send_to(hint, self.audience(Recipients::All));
     }
 
     /// Sends a hint, beside other work: no request waits for that.
@@ -229,7 +229,7 @@
     let hint: Numbered = options().deserialize(rest).map_err(|_| Unfit::Unreadable)?;
     match &hint.hint {
         Hint::Dispatch { told, .. } if !told.is_sound() => Err(Unfit::Unreadable),
-        Hint::Quarantine(word) if !word.is_sound() => Err(Unfit::Unreadable),
+        Hint::Quarantine(word) if !word.is_valid() => Err(Unfit::Unreadable),
         Hint::Limit { per_s: Some(per_s), .. } if !(per_s.is_finite() && *per_s >= 0.0) => {
             Err(Unfit::Unreadable)
         }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -137,7 +137,7 @@
     match node.rows.commit(&change).await {
         Ok(_) => {
             let lasts_ms = period(node) * MISSED / 2;
-            node.places().roster.beat(sent, node.now(), lasts_ms, members.interval_ms);
+            node.places().roster.confirm_heartbeat(sent, node.now(), lasts_ms, members.interval_ms);
         }
         Err(error) => log::warn!("fleet: event=heartbeat-failed {error}"),
     }
@@ -150,7 +150,7 @@
     let row = page.records.iter().find(|record| record.name == *own);
     let up_ms = row.map(|row| decode::<Beat>(row).map_or(0, |beat| beat.up_ms));
     let listed = page.records.iter().map(|record| record.name.as_str());
-    node.places().roster.read(own, listed, up_ms, asked, interval_ms);
+    node.places().roster.update_list(own, listed, up_ms, asked, interval_ms);
 }
 
 /// Divides the engines anew between long and short work.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,6 +1,6 @@
 //! Requests that end their upstreams: found by runs that broke off, told to the other gateways, and kept in the store.
 //!
-//! What is told to whom is decided in [`route::word`]. What is denied is told to all, and written to a table that each gateway reads when it
+//! What is told to whom is decided in [`route::notice`]. What is denied is told to all, and written to a table that each gateway reads when it
 //! starts, when another one's heartbeat says that it knows more, and now and then while something is denied.
 
 use crate::denials::{self, Denial};
@@ -9,8 +9,8 @@
 use crate::ports::Wire;
 use net::{Reach, exec};
 use route::Millis;
-use route::quarantine::{DENIED_MS, Fingerprint, GATHER_MS, Stage, Upstreams, Verdict};
-use route::word::{Reaction, Word};
+use route::notice::{FollowUp, Notice};
+use route::quarantine::{DECISION_DELAY_MS, DENIAL_DURATION_MS, Fingerprint, Stage, Upstreams, Verdict};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -83,7 +83,7 @@
             return;
         }
         let fingerprint = self.request.fingerprint();
-        let word = self.node.quarantine().outlived(fingerprint);
+        let word = self.node.quarantine().record_survival(fingerprint);
         if let Some(word) = word {
             log::info!("quarantine: event=cleared fingerprint={fingerprint} request={}", self.request.ask.id);
             self.node.hints.warn(word, self.node.now());
@@ -163,35 +163,35 @@
     node.metrics.runs_lost.inc();
     // One that leaves ends of its own accord.
     let Some(stage) = Stage::of(*begun_ms).filter(|_| !is_leaving) else { return };
-    let reaction = node.quarantine().observe(*fingerprint, upstream, stage, node.now());
+    let reaction = node.quarantine().observe_crash(*fingerprint, upstream, stage, node.now());
     react(&node, reaction);
 }
 
 /// Tells the others what they should know, and sees to it that a suspect is decided on in time.
-fn react<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, reaction: Reaction) {
-    if let Some(word) = reaction.tell {
-        if let Word::Suspect { fingerprint, ends } = &word {
+fn react<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, reaction: FollowUp) {
+    if let Some(word) = reaction.notice {
+        if let Notice::Suspect { fingerprint, ends } = &word {
             let names: Vec<&str> = ends.iter().map(|end| end.upstream.as_str()).collect();
             let (ended, names) = (ends.len(), names.join(","));
             log::warn!("quarantine: event=suspect fingerprint={fingerprint} ended={ended} upstreams={names}");
         }
         node.hints.warn(word, node.now());
     }
-    if reaction.is_due {
+    if reaction.is_decision_due {
         exec::spawn(decide(node.clone())).detach();
     }
 }
 
 /// Decides once word of the last end has come from all.
 async fn decide<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
-    exec::sleep(Duration::from_millis(GATHER_MS)).await;
+    exec::sleep(Duration::from_millis(DECISION_DELAY_MS)).await;
     let denied: Vec<Decision> = {
         let (mut quarantine, now) = (node.quarantine(), node.now());
         let requests = quarantine.decide(now);
         let decision = |fingerprint| Decision {
             fingerprint,
-            upstreams: quarantine.denial(fingerprint).unwrap_or_default(),
-            is_own: quarantine.is_own(fingerprint),
+            upstreams: quarantine.denied_upstreams(fingerprint).unwrap_or_default(),
+            is_own: quarantine.is_firsthand(fingerprint),
         };
         requests.into_iter().map(decision).collect()
     };
@@ -218,16 +218,16 @@
     if let Err(error) = read(&node).await {
         log::warn!("quarantine: event=not-read {error}");
     }
-    if node.quarantine().denial(fingerprint).is_some() {
+    if node.quarantine().denied_upstreams(fingerprint).is_some() {
         announce(node, fingerprint, upstreams).await;
     }
 }
 
 /// Tells all gateways that a request is denied, and keeps it in the store.
 async fn announce<W: Wire, S: Rows>(node: Arc<Node<W, S>>, fingerprint: Fingerprint, upstreams: Upstreams) {
-    let word = Word::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIED_MS };
+    let word = Notice::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIAL_DURATION_MS };
     node.hints.warn(word, node.now());
-    while node.quarantine().denial(fingerprint).is_some() {
+    while node.quarantine().denied_upstreams(fingerprint).is_some() {
         match denials::keep(&node.rows, fingerprint, &upstreams).await {
             Ok(()) => {
                 node.quarantine_grew.notify(usize::MAX);
@@ -240,11 +240,11 @@
 }
 
 /// Takes in what another gateway says.
-pub(crate) fn hear<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, word: &Word) {
-    if let Word::Denied { fingerprint, upstreams, lasts_ms } = word {
+pub(crate) fn hear<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, word: &Notice) {
+    if let Notice::Denied { fingerprint, upstreams, lasts_ms } = word {
         return deny(node, *fingerprint, upstreams, *lasts_ms, "gateway");
     }
-    let reaction = node.quarantine().hear(word, node.now());
+    let reaction = node.quarantine().apply(word, node.now());
     react(node, reaction);
 }
 
@@ -263,7 +263,7 @@
 }
 
 fn count<W: Wire, S: Rows>(node: &Node<W, S>) {
-    node.metrics.quarantined.set(node.quarantine().denied() as i64);
+    node.metrics.quarantined.set(node.quarantine().denied_count() as i64);
 }
 
 /// Reads the denied requests when the gateway starts, whenever another one knows more, and as long as some are denied now and then:
@@ -272,7 +272,7 @@
     loop {
         let more = node.quarantine_grew.listen();
         let pause = match read(&node).await {
-            Ok(()) if node.quarantine().denied() == 0 => {
+            Ok(()) if node.quarantine().denied_count() == 0 => {
                 more.await;
                 continue;
             }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -4,7 +4,7 @@
 use http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{Response, StatusCode};
 use hyper::body::Bytes;
-use route::quarantine::GATHER_MS;
+use route::quarantine::DECISION_DELAY_MS;
 
 /// Why the router answers a request itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -101,7 +101,7 @@
             Refusal::BudgetAway(millis) | Refusal::BudgetElsewhere(millis) | Refusal::Resting(millis) => {
                 Some(millis)
             }
-            Refusal::Undecided => Some(2 * GATHER_MS),
+            Refusal::Undecided => Some(2 * DECISION_DELAY_MS),
             Refusal::NotConfigured => Some(500),
             Refusal::Changing => Some(500),
             Refusal::Stopping => Some(50),
--- a/crates/gateway/src/strain.rs
+++ b/crates/gateway/src/strain.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::ports::Wire;
 use net::exec;
-use route::{Sample, Shift, Strain};
+use route::{LoadSample, OverloadMonitor, ReadinessChange};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 pub(crate) struct Load {
     received: AtomicU64,
     sent: AtomicU64,
-    strain: Mutex<Strain>,
+    strain: Mutex<OverloadMonitor>,
 }
 
 impl Load {
@@ -28,11 +28,11 @@
         Load {
             received: AtomicU64::new(0),
             sent: AtomicU64::new(0),
-            strain: Mutex::new(Strain::new(link_bytes_per_s)),
+            strain: Mutex::new(OverloadMonitor::new(link_bytes_per_s)),
         }
     }
 
-    fn strain(&self) -> MutexGuard<'_, Strain> {
+    fn strain(&self) -> MutexGuard<'_, OverloadMonitor> {
         self.strain.lock().expect("the strain's lock")
     }
 
@@ -54,12 +54,12 @@
 
     /// Whether this gateway takes no new callers.
     pub(crate) fn is_back(&self) -> bool {
-        self.strain().is_back()
+        self.strain().is_unready()
     }
 
     /// Whether the connection of an answer is closed after it.
     pub(crate) fn closes(&self) -> bool {
-        self.strain().closes(rand::random())
+        self.strain().should_close_connection(rand::random())
     }
 
     fn drain(&self) -> u64 {
@@ -73,15 +73,15 @@
         let due = node.now_exact() + PERIOD.as_secs_f64() * 1_000.0;
         exec::sleep(PERIOD).await;
         let late_ms = (node.now_exact() - due).max(0.0);
-        let sample = Sample { at: node.now(), late_ms, bytes: node.load.drain() };
+        let sample = LoadSample { at: node.now(), timer_delay_ms: late_ms, link_bytes: node.load.drain() };
         let (shift, (late_ms, link)) = {
             let mut strain = node.load.strain();
-            (strain.take(sample), strain.figures())
+            (strain.record(sample), strain.averages())
         };
         let event = match shift {
-            Shift::Stays => continue,
-            Shift::StepsBack => "steps-back",
-            Shift::Returns => "returns",
+            ReadinessChange::Unchanged => continue,
+            ReadinessChange::BecameUnready => "steps-back",
+            ReadinessChange::BecameReady => "returns",
         };
         log::warn!("gateway: event={event} late-ms={late_ms:.1} link={link:.2}");
     }
--- a/crates/gateway/tests/unit/hints.rs
+++ b/crates/gateway/tests/unit/hints.rs
@@ -68,14 +68,14 @@
     assert_eq!(listening().accept(&older, address(1)).err(), Some(Unfit::Unreadable));
 }
 
-fn denied(names: &[&str]) -> Word {
+fn denied(names: &[&str]) -> Notice {
     let upstreams = names.iter().map(|name| (*name).to_owned()).collect();
-    Word::Denied { fingerprint: Fingerprint::new([7; 16]), upstreams, lasts_ms: 600_000 }
+    Notice::Denied { fingerprint: Fingerprint::new([7; 16]), upstreams, lasts_ms: 600_000 }
 }
 
 #[test]
 fn word_of_a_denied_request_comes_out_as_it_was_and_counts_only_with_enough_upstreams() {
-    let heard = |word: Word| {
+    let heard = |word: Notice| {
         let bytes = encode(&Numbered { number: 5, hint: Hint::Quarantine(word) });
         assert!(bytes.len() <= LARGEST, "{} bytes", bytes.len());
         match listening().accept(&bytes, address(1)) {
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -238,7 +238,7 @@
         until(&node, "all are listed", 2).await;
         node.places().set_warmups(std::collections::HashMap::from([(
             "narrator".to_owned(),
-            route::warmup::Warmup { per_s: 5.0, lasts_ms: 100 },
+            route::warmup::Warmup { per_s: 5.0, duration_ms: 100 },
         )]));
         let address = node.listings()["engine-1"].address;
         put(&rows, &format!("narrator {address} warmup=700"));
--- a/crates/route/src/place.rs
+++ b/crates/route/src/place.rs
@@ -17,7 +17,7 @@
 use crate::reads::Reads;
 use crate::roster::Roster;
 use crate::signals::Signals;
-use crate::warmup::{Heat, Warming, Warmup};
+use crate::warmup::{Warmup, WarmupState, WarmupTracker};
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -216,7 +216,7 @@
                     health: Health::default(),
                     parts: HashMap::new(),
                     order: VecDeque::new(),
-                    warming: Warming::default(),
+                    warming: WarmupTracker::default(),
                 };
                 self.upstreams.insert(name.to_owned(), upstream);
             }
@@ -236,12 +236,12 @@
 
     /// Takes in an upstream's word that it leaves; `true` if that is new.
     pub fn leave(&mut self, name: &str, now: Millis) -> bool {
-        self.signals.leave(name, now)
+        self.signals.mark_leaving(name, now)
     }
 
     /// Takes in that an upstream wants nothing for so many milliseconds; those that it gets.
     pub fn rest(&mut self, name: &str, ms: Millis, now: Millis) -> Millis {
-        self.signals.rest(name, ms, now)
+        self.signals.back_off(name, ms, now)
     }
 
     /// Whether an upstream takes work, by the list, by its own word and by the operators'.
@@ -269,7 +269,7 @@
         for upstream in self.upstreams.values_mut() {
             let warmup = warmups.get(&upstream.site.service);
             if let Some(warmup) = warmup.filter(|_| upstream.site.data_centre == data_centre) {
-                upstream.warming.begin(warmup.lasts_ms, now);
+                upstream.warming.start(warmup.duration_ms, now);
             }
         }
         true
@@ -288,7 +288,7 @@
     /// Takes in that an upstream warms up for so many milliseconds from now on.
     pub fn warm_up(&mut self, name: &str, ms: Millis, now: Millis) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.warming.begin(ms, now);
+            upstream.warming.start(ms, now);
         }
     }
 
@@ -318,18 +318,20 @@
 
     /// Whether an upstream accepts one more dispatch of this gateway now; a warm-up or a request limit may prevent it.
     pub fn has_room(&self, name: &str, now: Millis) -> bool {
-        self.upstreams.get(name).is_none_or(|upstream| self.bears(name, upstream, Heat::Cold, now))
+        self.upstreams
+            .get(name)
+            .is_none_or(|upstream| self.bears(name, upstream, WarmupState::WarmingUp, now))
     }
 
     /// Whether an upstream bears one more dispatch of this gateway now, if those of this heat count as warming up.
-    fn bears(&self, name: &str, upstream: &Upstream, least: Heat, now: Millis) -> bool {
+    fn bears(&self, name: &str, upstream: &Upstream, least: WarmupState, now: Millis) -> bool {
         if self.signals.limit_wait_ms(name, &self.roster, now) > 0 {
             return false;
         }
-        match upstream.warming.heat(now) {
-            Heat::Warm => return true,
-            Heat::Unsure if least == Heat::Cold => return true,
-            Heat::Unsure | Heat::Cold => {}
+        match upstream.warming.state(now) {
+            WarmupState::Warm => return true,
+            WarmupState::Uncertain if least == WarmupState::WarmingUp => return true,
+            WarmupState::Uncertain | WarmupState::WarmingUp => {}
         }
         let warmup = self.warmups.get(&upstream.site.service).copied();
         upstream.warming.admits(name, warmup, &self.roster, now)
@@ -337,7 +339,7 @@
 
     /// Whether an upstream leaves, by the list or by its own word, or has left: then it ends of its own accord.
     pub fn leaves(&self, name: &str) -> bool {
-        self.upstreams.get(name).is_none_or(|upstream| upstream.leaving) || self.signals.leaves(name)
+        self.upstreams.get(name).is_none_or(|upstream| upstream.leaving) || self.signals.is_leaving(name)
     }
 
     /// The time until the first upstream of a service accepts requests again, in milliseconds, if all of them rest or
@@ -347,18 +349,18 @@
             upstream.site.service == service
                 && !upstream.leaving
                 && !self.is_evacuated(upstream)
-                && !self.signals.leaves(name)
+                && !self.signals.is_leaving(name)
         };
         let staying = self.upstreams.iter().filter(stays);
         let wait_ms = |name: &str| {
-            self.signals.rests_ms(name, now).max(self.signals.limit_wait_ms(name, &self.roster, now))
+            self.signals.backoff_ms(name, now).max(self.signals.limit_wait_ms(name, &self.roster, now))
         };
         staying.map(|(name, _)| wait_ms(name)).min().filter(|ms| *ms > 0)
     }
 
     /// Chooses the upstream with the least estimated time to a first answer; `None` if nothing serves the need.
     pub fn choose(&self, need: &Need<'_>, now: Millis) -> Option<Chosen> {
-        let serving_from = |least: Heat| {
+        let serving_from = |least: WarmupState| {
             self.upstreams.iter().filter(move |(name, upstream)| {
                 upstream.site.service == need.service
                     && !upstream.leaving
@@ -369,7 +371,11 @@
             })
         };
         // Where all may have started again, what gets nothing serves nobody.
-        let least = if serving_from(Heat::Unsure).next().is_some() { Heat::Unsure } else { Heat::Cold };
+        let least = if serving_from(WarmupState::Uncertain).next().is_some() {
+            WarmupState::Uncertain
+        } else {
+            WarmupState::WarmingUp
+        };
         let serving = || serving_from(least);
         let any_fit = serving().any(|(_, upstream)| upstream.is_fit(now));
         let candidates: SmallVec<[(&str, &Upstream); 32]> = serving()
@@ -443,9 +449,9 @@
         if let Some(service) = self.service_of(name) {
             service.load.add(true, told.since.long, now);
             service.load.add(false, told.since.short, now);
-            service.harm.begin(told.since.streams, now);
+            service.harm.add_streams(told.since.streams, now);
             let gap_ms = service.load.gap_ms;
-            told.pauses_ms.iter().for_each(|ms| service.harm.pause(f64::from(*ms), gap_ms, now));
+            told.pauses_ms.iter().for_each(|ms| service.harm.add_pause(f64::from(*ms), gap_ms, now));
         }
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         if let Some(ms) = told.event_ms {
@@ -513,10 +519,10 @@
         let Some(upstream) = self.upstreams.get(name) else { return };
         let ms = ms / upstream.pace.slowness(usual);
         let Some(service) = self.services.get_mut(&upstream.site.service) else { return };
-        if service.division.is_short(name) || ms < SHORT_PAUSE * service.load.gap_ms {
+        if service.division.is_reserved(name) || ms < SHORT_PAUSE * service.load.gap_ms {
             return;
         }
-        service.harm.pause(ms, service.load.gap_ms, now);
+        service.harm.add_pause(ms, service.load.gap_ms, now);
         if service.untold.len() < TOLD_PAUSES {
             service.untold.push(ms as u16);
         }
@@ -540,23 +546,23 @@
             let usual = engine::usual(like().map(|(_, upstream)| upstream.pace));
             let serving = like().filter(|(name, upstream)| {
                 let is_evacuated = self.evacuated.contains(&upstream.site.data_centre);
-                !upstream.leaving && !is_evacuated && !self.signals.leaves(name)
+                !upstream.leaving && !is_evacuated && !self.signals.is_leaving(name)
             });
             let members = serving.map(|(name, upstream)| Member {
                 name,
                 slowness: upstream.pace.quiet().map(|_| upstream.pace.slowness(usual)),
             });
             let gap_ms = known.load.gap_ms;
-            let harm = |slowness| known.harm.share(slowness, gap_ms, now);
+            let harm = |slowness| known.harm.late_share(slowness, gap_ms, now);
             known.division.adapt(members, &known.load, harm);
         }
-        self.services.iter().map(|(name, service)| (name.as_str(), service.division.short()))
+        self.services.iter().map(|(name, service)| (name.as_str(), service.division.reserved()))
     }
 
     /// Follows another router's division of a service's engines; `true` if that is new.
     pub fn follow(&mut self, service: &str, short: &[String]) -> bool {
         let division = &mut self.services.entry(service.to_owned()).or_default().division;
-        let is_new = division.short() != short;
+        let is_new = division.reserved() != short;
         *division = Division::follow(short.to_vec());
         is_new
     }
@@ -618,7 +624,7 @@
         let until = upstream.health.eject(now, false);
         // It may have started again, which the list tells later than the first gateways try it.
         if let Some(warmup) = self.warmups.get(&upstream.site.service) {
-            upstream.warming.suspect(until.saturating_sub(now) + warmup.lasts_ms, now);
+            upstream.warming.mark_uncertain(until.saturating_sub(now) + warmup.duration_ms, now);
         }
         upstream.parts.clear();
         upstream.order.clear();
@@ -637,7 +643,7 @@
     /// known.
     pub fn harm(&self, service: &str, now: Millis) -> Option<f64> {
         let service = self.services.get(service)?;
-        service.harm.share(1.0, service.load.gap_ms, now)
+        service.harm.late_share(1.0, service.load.gap_ms, now)
     }
 
     /// How many times slower than usual each engine is.
--- a/crates/route/src/place/estimate.rs
+++ b/crates/route/src/place/estimate.rs
@@ -71,7 +71,9 @@
         let part = shared.last()?;
         engines
             .iter()
-            .filter(|(name, _)| !self.division.is_divided() || self.division.is_short(name) != self.is_long)
+            .filter(|(name, _)| {
+                !self.division.is_divided() || self.division.is_reserved(name) != self.is_long
+            })
             .max_by_key(|(name, _)| xxh3_64_with_seed(name.as_bytes(), part.id))
             .map(|(name, _)| *name)
     }
@@ -83,7 +85,7 @@
         let runs = engine.runs(self.now);
         let slot_ms = self.run_ms * slowness * runs_to_end(runs, engine.site.slots);
         let first_ms = slot_ms + ahead_ms + self.model.first_ms(f64::from(uncached)) * slowness;
-        let is_kept = self.division.is_short(name);
+        let is_kept = self.division.is_reserved(name);
         let mixed = match (self.division.is_divided(), self.is_long, is_kept) {
             (true, true, true) => AMONG_SHORT * self.prompt.target_ms as f64,
             (true, false, false) => AMONG_LONG * self.prompt.target_ms as f64,
--- a/crates/route/src/place/upstream.rs
+++ b/crates/route/src/place/upstream.rs
@@ -4,10 +4,10 @@
 use crate::Millis;
 use crate::division::{Division, Load};
 use crate::engine::{Model, Pace};
-use crate::harm::Harm;
 use crate::health::{Health, Standing};
+use crate::interference::Interference;
 use crate::reads::Reads;
-use crate::warmup::Warming;
+use crate::warmup::WarmupTracker;
 use smallvec::SmallVec;
 use std::collections::{HashMap, VecDeque};
 
@@ -41,7 +41,7 @@
     pub(super) health: Health,
     pub(super) parts: HashMap<u64, Millis>,
     pub(super) order: VecDeque<u64>,
-    pub(super) warming: Warming,
+    pub(super) warming: WarmupTracker,
 }
 
 /// A dispatch whose first answer is awaited.
@@ -67,7 +67,7 @@
 pub(super) struct Service {
     pub(super) model: Model,
     pub(super) load: Load,
-    pub(super) harm: Harm,
+    pub(super) harm: Interference,
     pub(super) division: Division,
     /// How long runs take from the first answer on, on average, in milliseconds; 0 until one ended.
     pub(super) run_ms: f64,
@@ -84,8 +84,8 @@
 impl Service {
     /// Counts a short stream that begins beside long reads.
     pub(super) fn begin_short(&mut self, upstream: &str, now: Millis) {
-        if !self.division.is_short(upstream) {
-            self.harm.begin(1, now);
+        if !self.division.is_reserved(upstream) {
+            self.harm.add_streams(1, now);
         }
     }
 
@@ -95,7 +95,7 @@
         self.load.add(is_long, unread, now);
         let sum = if is_long { &mut self.sent.long } else { &mut self.sent.short };
         *sum = sum.saturating_add(unread);
-        if !is_long && !self.division.is_short(&chosen.upstream) {
+        if !is_long && !self.division.is_reserved(&chosen.upstream) {
             self.sent.streams = self.sent.streams.saturating_add(1);
         }
     }
--- a/crates/route/src/roster.rs
+++ b/crates/route/src/roster.rs
@@ -6,7 +6,7 @@
 //!
 //! The sum stays within what the upstream accepts even if lists differ. A surplus entry in a list only reduces the parts of
 //! others, so it is enough that each gateway which takes part knows all others that do. [`Roster`] sees to that: a gateway takes part
-//! while its list is not older than [`Roster::list_lasts_ms`], while its heartbeat is confirmed, and not before all lists that
+//! while its list is not older than [`Roster::list_validity_ms`], while its heartbeat is confirmed, and not before all lists that
 //! lack it have run out.
 
 use crate::Millis;
@@ -54,62 +54,71 @@
 pub struct Roster {
     ring: Option<Ring>,
     /// Until when the list counts.
-    list_until: Millis,
+    list_valid_until: Millis,
     /// Until when the last heartbeat counts.
-    beat_until: Millis,
+    heartbeat_valid_until: Millis,
     /// When the current list was requested.
-    list_asked: Millis,
+    list_requested_at: Millis,
     /// A list requested at this time or later names all gateways that started together with this one; `None` while this
     /// one is not listed.
     joining_listed_from: Option<Millis>,
     /// When the list and the heartbeat last became valid after one of them had expired.
     current_since: Millis,
     /// From when on all lists that count name this gateway; `None` while it is not listed.
-    named_from: Option<Millis>,
+    listed_everywhere_from: Option<Millis>,
 }
 
 impl Roster {
     /// How long a list counts that is read every `interval_ms`, in milliseconds.
-    pub fn list_lasts_ms(interval_ms: Millis) -> Millis {
+    pub fn list_validity_ms(interval_ms: Millis) -> Millis {
         2 * interval_ms + LIST_SLACK_MS
     }
 
     /// How long a gateway that is new to the list takes no part, in milliseconds: other gateways may read theirs less often, and
     /// an answer may be older than its arrival.
-    pub fn join_ms(interval_ms: Millis) -> Millis {
-        2 * Roster::list_lasts_ms(interval_ms)
+    pub fn join_delay_ms(interval_ms: Millis) -> Millis {
+        2 * Roster::list_validity_ms(interval_ms)
     }
 
-    /// Takes in a list that was asked for at `asked` and is read every `interval_ms`. `own_up_ms` is how long this gateway, or an earlier process of
+    /// Takes in a list that was requested_at for at `requested_at` and is read every `interval_ms`. `own_uptime_ms` is how long this gateway, or an earlier process of
     /// its name, had run by its row, if that is listed.
-    pub fn read<'a>(
+    pub fn update_list<'a>(
         &mut self,
         own: &str,
         listed: impl Iterator<Item = &'a str>,
-        own_up_ms: Option<Millis>,
-        asked: Millis,
+        own_uptime_ms: Option<Millis>,
+        requested_at: Millis,
         interval_ms: Millis,
     ) {
-        self.update_current_since(asked);
+        self.update_current_since(requested_at);
         self.ring = Some(Ring::new(own, listed.filter(|name| *name != own)));
-        self.list_asked = asked;
-        self.list_until = asked + Roster::list_lasts_ms(interval_ms);
-        match own_up_ms {
+        self.list_requested_at = requested_at;
+        self.list_valid_until = requested_at + Roster::list_validity_ms(interval_ms);
+        match own_uptime_ms {
             // An earlier process was in all lists already, and may have dispatched its part just before it ended.
-            Some(up_ms) if self.named_from.is_none() && up_ms >= Roster::join_ms(interval_ms) => {
-                self.named_from = Some(asked + SPAN_MS);
+            Some(uptime_ms)
+                if self.listed_everywhere_from.is_none()
+                    && uptime_ms >= Roster::join_delay_ms(interval_ms) =>
+            {
+                self.listed_everywhere_from = Some(requested_at + SPAN_MS);
             }
             Some(_) => {}
             None => self.leave(),
         }
     }
 
-    /// Takes in that a heartbeat which was sent at `sent` was confirmed at `now`, and counts for `lasts_ms`.
-    pub fn beat(&mut self, sent: Millis, now: Millis, lasts_ms: Millis, interval_ms: Millis) {
+    /// Takes in that a heartbeat which was sent_at at `sent` was confirmed at `now`, and counts for `validity_ms`.
+    pub fn confirm_heartbeat(
+        &mut self,
+        sent_at: Millis,
+        now: Millis,
+        validity_ms: Millis,
+        interval_ms: Millis,
+    ) {
         self.update_current_since(now);
-        self.beat_until = sent + lasts_ms;
-        if self.named_from.is_none() {
-            self.named_from = Some(now + Roster::join_ms(interval_ms));
+        self.heartbeat_valid_until = sent_at + validity_ms;
+        if self.listed_everywhere_from.is_none() {
+            self.listed_everywhere_from = Some(now + Roster::join_delay_ms(interval_ms));
             self.joining_listed_from = Some(now + LIST_SLACK_MS);
         }
     }
@@ -122,14 +131,14 @@
 
     /// Takes no part any more: this gateway takes its row out of the list.
     pub fn leave(&mut self) {
-        self.named_from = None;
+        self.listed_everywhere_from = None;
         self.joining_listed_from = None;
     }
 
     /// This gateway's part of `requests`. It is 0 while this gateway is joining, or its list or heartbeat has expired,
     /// since the other gateways may then divide all requests among themselves.
     pub(crate) fn part(&self, upstream: &str, requests: usize, now: Millis) -> usize {
-        self.ring.as_ref().filter(|_| self.takes_part(now)).map_or(0, |ring| ring.part(upstream, requests))
+        self.ring.as_ref().filter(|_| self.participates(now)).map_or(0, |ring| ring.part(upstream, requests))
     }
 
     /// Like [`Roster::part`], but a gateway that is joining, or whose list or heartbeat has expired, takes a part of half
@@ -137,9 +146,9 @@
     /// gateways send up to one and a half times `requests`.
     pub(crate) fn part_or_half(&self, upstream: &str, requests: usize, now: Millis) -> usize {
         let Some(ring) = &self.ring else { return 0 };
-        if self.takes_part(now) {
+        if self.participates(now) {
             ring.part(upstream, requests)
-        } else if self.lists_joining(now) || self.took_part(now) {
+        } else if self.lists_all_joining(now) || self.participated(now) {
             ring.part(upstream, requests / 2)
         } else {
             0
@@ -147,29 +156,29 @@
     }
 
     /// Whether the list is valid and names the gateways that started together with this one.
-    fn lists_joining(&self, now: Millis) -> bool {
-        self.is_current(now) && self.joining_listed_from.is_some_and(|from| from <= self.list_asked)
+    fn lists_all_joining(&self, now: Millis) -> bool {
+        self.is_current(now) && self.joining_listed_from.is_some_and(|from| from <= self.list_requested_at)
     }
 
     /// Whether this gateway took part until its list or heartbeat expired.
-    fn took_part(&self, now: Millis) -> bool {
-        self.named_from.is_some_and(|from| from <= now && self.is_current(from))
+    fn participated(&self, now: Millis) -> bool {
+        self.listed_everywhere_from.is_some_and(|from| from <= now && self.is_current(from))
     }
 
     /// The number of gateways between an upstream's point on the ring and this gateway, and when this gateway began to
     /// take part; `None` if it takes no part.
     pub(crate) fn rank(&self, upstream: &str, now: Millis) -> Option<(usize, Millis)> {
-        let ring = self.ring.as_ref().filter(|_| self.takes_part(now))?;
-        Some((ring.rank(upstream), self.current_since.max(self.named_from?)))
+        let ring = self.ring.as_ref().filter(|_| self.participates(now))?;
+        Some((ring.rank(upstream), self.current_since.max(self.listed_everywhere_from?)))
     }
 
-    fn takes_part(&self, now: Millis) -> bool {
-        let is_named = self.named_from.is_some_and(|from| from <= now);
-        is_named && self.is_current(now)
+    fn participates(&self, now: Millis) -> bool {
+        let is_listed_everywhere = self.listed_everywhere_from.is_some_and(|from| from <= now);
+        is_listed_everywhere && self.is_current(now)
     }
 
     /// Whether neither the list nor the heartbeat has expired.
     fn is_current(&self, now: Millis) -> bool {
-        now < self.list_until && now < self.beat_until
+        now < self.list_valid_until && now < self.heartbeat_valid_until
     }
 }
--- a/crates/route/src/signals.rs
+++ b/crates/route/src/signals.rs
@@ -12,22 +12,22 @@
 use std::collections::HashMap;
 
 /// How long an upstream's word is remembered, in milliseconds: one that leaves is gone long before.
-const REMEMBERED_MS: Millis = 600_000;
+const RETENTION_MS: Millis = 600_000;
 
 /// The longest rest that an upstream gets, in milliseconds: one that says a day, by mistake, is asked again sooner.
-const REST_MOST_MS: Millis = 300_000;
+const MAX_BACKOFF_MS: Millis = 300_000;
 /// Callers come back over so long after a rest, in milliseconds: together they would be the next thing that is too much.
-const RETURN_MS: u64 = 500;
+const RETRY_SPREAD_MS: u64 = 500;
 
 /// What one upstream said.
 #[derive(Clone, Debug, Default)]
 struct Signal {
-    leaves: bool,
+    is_leaving: bool,
     /// Until when it wants nothing.
-    rests_until: Millis,
+    backoff_until: Millis,
     /// The request limit that it named.
     limit: Option<Limit>,
-    heard: Millis,
+    updated: Millis,
 }
 
 /// What all upstreams said, by their names.
@@ -36,16 +36,16 @@
 
 impl Signals {
     /// Takes in that an upstream leaves; `true` if that is new.
-    pub(crate) fn leave(&mut self, upstream: &str, now: Millis) -> bool {
+    pub(crate) fn mark_leaving(&mut self, upstream: &str, now: Millis) -> bool {
         let signal = self.signal(upstream, now);
-        !std::mem::replace(&mut signal.leaves, true)
+        !std::mem::replace(&mut signal.is_leaving, true)
     }
 
     /// Takes in that an upstream wants nothing for so many milliseconds; those that it gets.
-    pub(crate) fn rest(&mut self, upstream: &str, ms: Millis, now: Millis) -> Millis {
-        let ms = ms.min(REST_MOST_MS);
+    pub(crate) fn back_off(&mut self, upstream: &str, ms: Millis, now: Millis) -> Millis {
+        let ms = ms.min(MAX_BACKOFF_MS);
         let signal = self.signal(upstream, now);
-        signal.rests_until = signal.rests_until.max(now + ms);
+        signal.backoff_until = signal.backoff_until.max(now + ms);
         ms
     }
 
@@ -121,18 +121,18 @@
     }
 
     /// Whether an upstream said that it leaves.
-    pub(crate) fn leaves(&self, upstream: &str) -> bool {
-        self.0.get(upstream).is_some_and(|signal| signal.leaves)
+    pub(crate) fn is_leaving(&self, upstream: &str) -> bool {
+        self.0.get(upstream).is_some_and(|signal| signal.is_leaving)
     }
 
     /// How long an upstream still rests, in milliseconds; 0 if it doesn't.
-    pub(crate) fn rests_ms(&self, upstream: &str, now: Millis) -> Millis {
-        self.0.get(upstream).map_or(0, |signal| signal.rests_until.saturating_sub(now))
+    pub(crate) fn backoff_ms(&self, upstream: &str, now: Millis) -> Millis {
+        self.0.get(upstream).map_or(0, |signal| signal.backoff_until.saturating_sub(now))
     }
 
     /// Whether an upstream takes work, as far as it said itself.
     pub(crate) fn admits(&self, upstream: &str, now: Millis) -> bool {
-        self.0.get(upstream).is_none_or(|signal| !signal.leaves && signal.rests_until <= now)
+        self.0.get(upstream).is_none_or(|signal| !signal.is_leaving && signal.backoff_until <= now)
     }
 
     /// Forgets what an upstream said: another life of it began.
@@ -141,14 +141,14 @@
     }
 
     fn signal(&mut self, upstream: &str, now: Millis) -> &mut Signal {
-        self.0.retain(|_, signal| now.saturating_sub(signal.heard) < REMEMBERED_MS);
+        self.0.retain(|_, signal| now.saturating_sub(signal.updated) < RETENTION_MS);
         let signal = self.0.entry(upstream.to_owned()).or_default();
-        signal.heard = now;
+        signal.updated = now;
         signal
     }
 }
 
 /// When a caller should come back whom upstreams can't serve before `rest_ms`, in milliseconds: not all at once, each by its `seed`.
-pub fn return_ms(rest_ms: Millis, seed: u64) -> Millis {
-    rest_ms + seed % RETURN_MS
+pub fn retry_after_ms(backoff_ms: Millis, seed: u64) -> Millis {
+    backoff_ms + seed % RETRY_SPREAD_MS
 }
--- a/crates/route/src/warmup.rs
+++ b/crates/route/src/warmup.rs
@@ -8,9 +8,9 @@
 use smallvec::SmallVec;
 
 /// The longest warm-up that is believed, in milliseconds: one that says a day, by mistake, is asked again sooner.
-const LONGEST_MS: Millis = 60_000;
+const MAX_DURATION_MS: Millis = 60_000;
 /// The rate of an upstream that warms up and is said to bear nothing, in requests a second.
-const LEAST_PER_S: f64 = 1.0;
+const MIN_PER_S: f64 = 1.0;
 
 /// What the upstreams of a service bear while they warm up.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,43 +18,43 @@
     /// Requests in a second, from all gateways together.
     pub per_s: f64,
     /// How long it takes after a start, in milliseconds.
-    pub lasts_ms: Millis,
+    pub duration_ms: Millis,
 }
 
 impl Warmup {
     /// Whole requests in a second.
     fn requests(self) -> usize {
-        self.per_s.max(LEAST_PER_S) as usize
+        self.per_s.max(MIN_PER_S) as usize
     }
 }
 
 /// Whether an upstream is warm.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Heat {
+pub(crate) enum WarmupState {
     Warm,
     /// It may have started again, and nothing says so yet.
-    Unsure,
-    Cold,
+    Uncertain,
+    WarmingUp,
 }
 
 /// How one upstream warms up.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Warming {
-    until: Millis,
-    unsure_until: Millis,
+pub(crate) struct WarmupTracker {
+    warming_until: Millis,
+    uncertain_until: Millis,
     /// Dispatches of this gateway within the last span: those before it was known to warm up count too.
     sent: SmallVec<[Millis; 4]>,
 }
 
-impl Warming {
+impl WarmupTracker {
     /// Takes in that it warms up for so many milliseconds from now on.
-    pub(crate) fn begin(&mut self, ms: Millis, now: Millis) {
-        self.until = self.until.max(now + ms.min(LONGEST_MS));
+    pub(crate) fn start(&mut self, ms: Millis, now: Millis) {
+        self.warming_until = self.warming_until.max(now + ms.min(MAX_DURATION_MS));
     }
 
     /// Takes in that it may warm up for so many milliseconds from now on.
-    pub(crate) fn suspect(&mut self, ms: Millis, now: Millis) {
-        self.unsure_until = self.unsure_until.max(now + ms.min(LONGEST_MS));
+    pub(crate) fn mark_uncertain(&mut self, ms: Millis, now: Millis) {
+        self.uncertain_until = self.uncertain_until.max(now + ms.min(MAX_DURATION_MS));
     }
 
     /// Notes a dispatch.
@@ -69,13 +69,13 @@
     }
 
     /// Whether it is warm.
-    pub(crate) fn heat(&self, now: Millis) -> Heat {
-        if now < self.until {
-            Heat::Cold
-        } else if now < self.unsure_until {
-            Heat::Unsure
+    pub(crate) fn state(&self, now: Millis) -> WarmupState {
+        if now < self.warming_until {
+            WarmupState::WarmingUp
+        } else if now < self.uncertain_until {
+            WarmupState::Uncertain
         } else {
-            Heat::Warm
+            WarmupState::Warm
         }
     }
 
--- a/crates/route/tests/fleet/mod.rs
+++ b/crates/route/tests/fleet/mod.rs
@@ -135,7 +135,7 @@
                 } else {
                     let own = listed.iter().find(|(name, _)| *name == gateway.name).map(|(_, up)| *up);
                     let names = listed.iter().map(|(name, _)| name.as_str());
-                    gateway.places.roster.read(&gateway.name, names, own, asked, INTERVAL);
+                    gateway.places.roster.update_list(&gateway.name, names, own, asked, INTERVAL);
                 }
             }
             if now >= gateway.next_beat && gateway.beating.is_none() && !gateway.cut {
@@ -146,7 +146,7 @@
                 gateway.next_beat = now + PERIOD;
             }
             if let Some((arrives, sent)) = gateway.beating.filter(|(arrives, _)| now >= *arrives) {
-                gateway.places.roster.beat(sent, arrives, LEASE, INTERVAL);
+                gateway.places.roster.confirm_heartbeat(sent, arrives, LEASE, INTERVAL);
                 gateway.beating = None;
             }
             let sent = send(&mut gateway.places, now);
--- a/crates/route/tests/limits.rs
+++ b/crates/route/tests/limits.rs
@@ -36,9 +36,15 @@
 fn fleet_member(number: usize, fleet: usize, mut places: Places) -> Places {
     let names: Vec<String> = (0..fleet).map(|number| format!("vm-{number}")).collect();
     let own = &names[number];
-    places.roster.read(own, names.iter().map(String::as_str), Some(Roster::join_ms(INTERVAL)), 0, 1_000_000);
-    places.roster.read(own, names.iter().map(String::as_str), Some(u64::MAX), 0, 1_000_000);
-    places.roster.beat(0, 0, 1_000_000, INTERVAL);
+    places.roster.update_list(
+        own,
+        names.iter().map(String::as_str),
+        Some(Roster::join_delay_ms(INTERVAL)),
+        0,
+        1_000_000,
+    );
+    places.roster.update_list(own, names.iter().map(String::as_str), Some(u64::MAX), 0, 1_000_000);
+    places.roster.confirm_heartbeat(0, 0, 1_000_000, INTERVAL);
     places
 }
 
@@ -178,8 +184,14 @@
         .map(|number| {
             let mut places = limited_places(per_s);
             let names: Vec<String> = (0..fleet).map(|number| format!("vm-{number}")).collect();
-            places.roster.read(&names[number], names.iter().map(String::as_str), Some(u64::MAX), 0, INTERVAL);
-            places.roster.beat(0, 0, INTERVAL, INTERVAL);
+            places.roster.update_list(
+                &names[number],
+                names.iter().map(String::as_str),
+                Some(u64::MAX),
+                0,
+                INTERVAL,
+            );
+            places.roster.confirm_heartbeat(0, 0, INTERVAL, INTERVAL);
             places
         })
         .collect();
--- a/crates/route/tests/places.rs
+++ b/crates/route/tests/places.rs
@@ -133,7 +133,7 @@
     assert_eq!(places.rest("e-0", 86_400_000, 4_000), 300_000, "a day is bounded");
     places.leave("e-1", 5_000);
     assert_eq!(places.rests_ms("engines", 5_000), Some(299_000), "one that leaves is not waited for");
-    let times: Vec<u64> = (0..1_000).map(|seed| route::return_ms(900, seed * 7_919)).collect();
+    let times: Vec<u64> = (0..1_000).map(|seed| route::retry_after_ms(900, seed * 7_919)).collect();
     assert!(times.iter().all(|ms| (900..1_400).contains(ms)));
     let early = times.iter().filter(|ms| **ms < 1_000).count();
     assert!((150..250).contains(&early), "they come back evenly: {early} of 1,000 in the first fifth");
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -3,10 +3,11 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
+use route::notice::{self, Notice, NoticeLimiter, Recipients};
 use route::quarantine::{
-    DENIED_MS, End, Ends, Fingerprint, GATHER_MS, MOST_ENDED, Quarantine, Stage, Upstreams, Verdict,
+    Crash, Crashes, DECISION_DELAY_MS, DENIAL_DURATION_MS, DENIAL_THRESHOLD, Fingerprint, Quarantine, Stage,
+    Upstreams, Verdict,
 };
-use route::word::{self, Audience, Bound, Word};
 use std::collections::BTreeMap;
 
 fn request(number: u64) -> Fingerprint {
@@ -26,10 +27,10 @@
 fn told(ends: &Ended, quarantine: &mut Quarantine, now: u64) -> Vec<Fingerprint> {
     for (upstream, there) in ends {
         there.iter().for_each(|number| {
-            quarantine.end(request(*number), upstream, Stage::Silent, now);
+            quarantine.record_crash(request(*number), upstream, Stage::Silent, now);
         });
     }
-    quarantine.decide(now + GATHER_MS)
+    quarantine.decide(now + DECISION_DELAY_MS)
 }
 
 fn ends(ran: &[&[u64]]) -> Ended {
@@ -41,9 +42,16 @@
     let mut quarantine = Quarantine::default();
     assert_eq!(told(&ends(&[&[1, 2, 3], &[1, 3, 4], &[1, 4, 5]]), &mut quarantine, 0), [request(1)]);
     for beside in 2..6 {
-        assert_eq!(quarantine.verdict(request(beside), GATHER_MS), Verdict::Clear, "its ends are explained");
+        assert_eq!(
+            quarantine.verdict(request(beside), DECISION_DELAY_MS),
+            Verdict::Clear,
+            "its ends are explained"
+        );
     }
-    assert!(!quarantine.end(request(3), "e-2", Stage::Silent, GATHER_MS), "also one that is told late");
+    assert!(
+        !quarantine.record_crash(request(3), "e-2", Stage::Silent, DECISION_DELAY_MS),
+        "also one that is told late"
+    );
 }
 
 #[test]
@@ -59,7 +67,11 @@
 fn of_two_that_were_always_together_neither_is_denied_until_they_part() {
     let mut quarantine = Quarantine::default();
     assert!(told(&ends(&[&[1, 2], &[1, 2], &[1, 2]]), &mut quarantine, 0).is_empty());
-    assert_eq!(quarantine.verdict(request(2), 200), Verdict::Suspect(MOST_ENDED), "it may run meanwhile");
+    assert_eq!(
+        quarantine.verdict(request(2), 200),
+        Verdict::Suspect(DENIAL_THRESHOLD),
+        "it may run meanwhile"
+    );
     let parted = vec![("e-9".to_owned(), vec![1])];
     assert_eq!(told(&parted, &mut quarantine, 1_000), [request(1)]);
     assert_eq!(quarantine.verdict(request(2), 1_200), Verdict::Clear);
@@ -86,37 +98,37 @@
 fn while_it_is_decided_on_a_request_waits_and_a_denial_ages_out() {
     let mut quarantine = Quarantine::default();
     for upstream in ["e-0", "e-1", "e-2"] {
-        quarantine.end(request(1), upstream, Stage::Silent, 0);
+        quarantine.record_crash(request(1), upstream, Stage::Silent, 0);
     }
     assert_eq!(quarantine.verdict(request(1), 1), Verdict::Undecided);
-    assert!(quarantine.decide(GATHER_MS - 1).is_empty());
-    assert_eq!(quarantine.decide(GATHER_MS), [request(1)]);
+    assert!(quarantine.decide(DECISION_DELAY_MS - 1).is_empty());
+    assert_eq!(quarantine.decide(DECISION_DELAY_MS), [request(1)]);
     assert_eq!(quarantine.renew(request(1), 1_000), None, "it was told a moment ago");
-    let late = DENIED_MS * 3 / 4;
+    let late = DENIAL_DURATION_MS * 3 / 4;
     assert_eq!(quarantine.renew(request(1), late).map(|upstreams| upstreams.len()), Some(3));
-    assert_eq!(quarantine.verdict(request(1), late + DENIED_MS - 1), Verdict::Denied);
-    assert_eq!(quarantine.verdict(request(1), late + DENIED_MS), Verdict::Clear);
+    assert_eq!(quarantine.verdict(request(1), late + DENIAL_DURATION_MS - 1), Verdict::Denied);
+    assert_eq!(quarantine.verdict(request(1), late + DENIAL_DURATION_MS), Verdict::Clear);
 }
 
 #[test]
 fn what_another_router_denies_is_denied_no_longer_than_it_says() {
     let mut quarantine = Quarantine::default();
     let upstreams = names(["e-0", "e-1", "e-2"]);
-    quarantine.end(request(2), "e-1", Stage::Silent, 0);
+    quarantine.record_crash(request(2), "e-1", Stage::Silent, 0);
     assert!(quarantine.deny(request(1), &upstreams, 5_000, 0));
     assert!(!quarantine.deny(request(1), &upstreams, 1_000, 0), "known");
     assert_eq!(quarantine.verdict(request(2), 1), Verdict::Clear, "its end is explained");
     assert_eq!(quarantine.verdict(request(1), 4_999), Verdict::Denied);
     assert_eq!(quarantine.verdict(request(1), 5_000), Verdict::Clear);
     assert!(quarantine.deny(request(1), &upstreams, u64::MAX, 6_000), "nonsense is bounded");
-    assert_eq!(quarantine.verdict(request(1), 6_000 + DENIED_MS), Verdict::Clear);
+    assert_eq!(quarantine.verdict(request(1), 6_000 + DENIAL_DURATION_MS), Verdict::Clear);
 }
 
 #[test]
 fn a_flood_of_suspects_and_denials_stays_bounded() {
     let mut quarantine = Quarantine::default();
     (0..20_000).for_each(|number| {
-        quarantine.end(request(number), &format!("e-{number}"), Stage::Silent, number);
+        quarantine.record_crash(request(number), &format!("e-{number}"), Stage::Silent, number);
     });
     let known = (0..20_000).filter(|number| quarantine.verdict(request(*number), 20_000) != Verdict::Clear);
     assert_eq!(known.count(), 4_096);
@@ -124,7 +136,7 @@
     (0..5_000).for_each(|number| {
         quarantine.deny(request(number), &upstreams, 1_000 + number, 0);
     });
-    assert_eq!(quarantine.denied(), 1_024);
+    assert_eq!(quarantine.denied_count(), 1_024);
 }
 
 /// No order, repetition or loss of messages denies a request that was not at each end of one.
@@ -152,7 +164,7 @@
         let mut quarantine = Quarantine::default();
         let mut denied = vec![];
         for (now, (number, upstream)) in messages.iter().enumerate() {
-            quarantine.end(request(*number), &format!("e-{upstream}"), Stage::Silent, now as u64);
+            quarantine.record_crash(request(*number), &format!("e-{upstream}"), Stage::Silent, now as u64);
             if random.gen_bool(0.1) {
                 denied.extend(quarantine.decide(now as u64));
             }
@@ -168,22 +180,22 @@
 fn a_fingerprint_prefers_the_same_routers_whoever_asks() {
     let names: Vec<String> = (0..40).map(|index| format!("vm-{index}")).collect();
     let chosen = |request, order: &[usize]| {
-        word::deciders(request, order.iter().map(|index| (*index, names[*index].as_str())))
+        notice::coordinators(request, order.iter().map(|index| (*index, names[*index].as_str())))
     };
     let forth: Vec<usize> = (0..40).collect();
     let back: Vec<usize> = (0..40).rev().collect();
-    assert_eq!(chosen(request(1), &forth).len(), word::DECIDERS);
+    assert_eq!(chosen(request(1), &forth).len(), notice::COORDINATOR_COUNT);
     assert_eq!(chosen(request(1), &forth), chosen(request(1), &back));
     assert_ne!(chosen(request(1), &forth), chosen(request(2), &forth));
 }
 
 #[test]
 fn what_all_hear_of_suspects_does_not_grow_with_the_fleet() {
-    let ends = Ends::from_iter([End { upstream: "e-0".to_owned(), stage: Stage::Silent }]);
-    let suspect = Word::Suspect { fingerprint: request(1), ends };
+    let ends = Crashes::from_iter([Crash { upstream: "e-0".to_owned(), stage: Stage::Silent }]);
+    let suspect = Notice::Suspect { fingerprint: request(1), ends };
     for routers in [6, 75, 295, 1_400] {
-        let mut bound = Bound::default();
-        let all = (0..60_000).filter(|now| bound.audience(&suspect, routers, *now) == Audience::All);
+        let mut bound = NoticeLimiter::default();
+        let all = (0..60_000).filter(|now| bound.recipients(&suspect, routers, *now) == Recipients::All);
         // Beyond what each may tell at once.
         let heard_per_s = (all.count() as f64 - 8.0) * routers as f64 / 60.0;
         assert!(heard_per_s <= 21.0, "{heard_per_s} a second with {routers} routers");
@@ -257,7 +269,7 @@
             if let Some(engine) = engine.filter(|_| comes && may_run) {
                 down.push(*engine);
                 *ended.entry(number).or_default() += 1;
-                quarantine.end(
+                quarantine.record_crash(
                     request(number),
                     &format!("e-{engine}.{}", lives[*engine]),
                     Stage::Silent,
@@ -270,7 +282,7 @@
             let begun_ms = now.checked_sub(run.answers);
             if let Some(stage) = Stage::of(begun_ms) {
                 let upstream = format!("e-{}.{}", run.engine, lives[run.engine]);
-                quarantine.end(request(run.number), &upstream, stage, now);
+                quarantine.record_crash(request(run.number), &upstream, stage, now);
             }
             *run = match left.choose(&mut random) {
                 Some(engine) if run.tries > 1 => {
@@ -305,7 +317,7 @@
         let outcome = play(500_000, deadly_at_once, seed);
         println!("{outcome:?}");
         assert_eq!(outcome.denied, 0);
-        assert!(outcome.ended.keys().all(|ended| *ended <= MOST_ENDED as u32), "{outcome:?}");
+        assert!(outcome.ended.keys().all(|ended| *ended <= DENIAL_THRESHOLD as u32), "{outcome:?}");
     }
 }
 
--- a/crates/route/tests/spread.rs
+++ b/crates/route/tests/spread.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use route::{Millis, Sample, Strain};
+use route::{LoadSample, Millis, OverloadMonitor};
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -32,7 +32,7 @@
 
 /// A VM with the requests that wait for its link.
 struct Vm {
-    strain: Strain,
+    strain: OverloadMonitor,
     waiting: VecDeque<(Millis, usize)>,
     /// Bytes of the first one that have passed.
     passed: f64,
@@ -65,7 +65,7 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let mut fleet: Vec<Vm> = (0..vms)
         .map(|_| Vm {
-            strain: Strain::new(Some(LINK_BYTES_PER_S)),
+            strain: OverloadMonitor::new(Some(LINK_BYTES_PER_S)),
             waiting: VecDeque::new(),
             passed: 0.0,
             bytes: 0,
@@ -116,22 +116,26 @@
             let (_, channel) = working.pop_front().expect("one is done");
             let Channel { caller, vm, .. } = channels[channel];
             channels[channel].busy = false;
-            if !fleet[vm].strain.closes(random.r#gen()) {
+            if !fleet[vm].strain.should_close_connection(random.r#gen()) {
                 idle[caller].push(channel);
             }
         }
         for (vm, was_back) in fleet.iter_mut().zip(&mut was_back) {
             if steps_back && now % 100 == 0 {
-                vm.strain.take(Sample { at: now, late_ms: 0.0, bytes: std::mem::take(&mut vm.bytes) });
-                vm.steps += u32::from(vm.strain.is_back() && !*was_back);
-                *was_back = vm.strain.is_back();
+                vm.strain.record(LoadSample {
+                    at: now,
+                    timer_delay_ms: 0.0,
+                    link_bytes: std::mem::take(&mut vm.bytes),
+                });
+                vm.steps += u32::from(vm.strain.is_unready() && !*was_back);
+                *was_back = vm.strain.is_unready();
             }
             if now % ASKED == 0 {
-                vm.misses = if vm.strain.is_back() { vm.misses + 1 } else { 0 };
+                vm.misses = if vm.strain.is_unready() { vm.misses + 1 } else { 0 };
                 vm.is_in = vm.misses < MISSES;
             }
         }
-        outcome.away = outcome.away.max(fleet.iter().filter(|vm| vm.strain.is_back()).count());
+        outcome.away = outcome.away.max(fleet.iter().filter(|vm| vm.strain.is_unready()).count());
     }
     let steps: u32 = fleet.iter().map(|vm| vm.steps).sum();
     outcome.steps = f64::from(steps) / vms as f64 / (LASTS as f64 / 10_000.0);
@@ -199,22 +203,22 @@
 
 #[test]
 fn a_vm_that_stood_still_for_seconds_is_not_overrun() {
-    let mut strain = Strain::new(None);
+    let mut strain = OverloadMonitor::new(None);
     for at in (0..2_000).step_by(100) {
-        strain.take(Sample { at, late_ms: 0.5, bytes: 0 });
+        strain.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 0 });
     }
-    strain.take(Sample { at: 6_000, late_ms: 4_000.0, bytes: 0 });
+    strain.record(LoadSample { at: 6_000, timer_delay_ms: 4_000.0, link_bytes: 0 });
     for at in (6_100..8_000).step_by(100) {
-        strain.take(Sample { at, late_ms: 0.5, bytes: 0 });
-        assert!(!strain.is_back(), "at {at}");
+        strain.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 0 });
+        assert!(!strain.is_unready(), "at {at}");
     }
 }
 
 #[test]
 fn a_link_that_is_not_known_is_never_full() {
-    let mut strain = Strain::new(None);
+    let mut strain = OverloadMonitor::new(None);
     for at in (0..3_000).step_by(100) {
-        strain.take(Sample { at, late_ms: 0.5, bytes: 1 << 30 });
+        strain.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 1 << 30 });
     }
-    assert!(!strain.is_back());
+    assert!(!strain.is_unready());
 }
--- a/crates/route/tests/warmup.rs
+++ b/crates/route/tests/warmup.rs
@@ -17,7 +17,7 @@
 
 fn places(per_s: f64) -> Places {
     let mut places = Places::new("here");
-    places.set_warmups(HashMap::from([("narrator".to_owned(), Warmup { per_s, lasts_ms: 3_000 })]));
+    places.set_warmups(HashMap::from([("narrator".to_owned(), Warmup { per_s, duration_ms: 3_000 })]));
     (0..UPSTREAMS).for_each(|index| places.set(&upstream(index), site(), false));
     places
 }
@@ -44,10 +44,10 @@
     let names: Vec<String> = (0..fleet).map(|index| format!("vm-{index}")).collect();
     let mut gateways: Vec<Places> = names.iter().map(|_| places(per_s)).collect();
     for (name, places) in names.iter().zip(&mut gateways) {
-        let up_ms = Roster::join_ms(INTERVAL);
-        places.roster.read(name, names.iter().map(String::as_str), Some(up_ms), 0, 100_000);
-        places.roster.read(name, names.iter().map(String::as_str), Some(u64::MAX), 0, 100_000);
-        places.roster.beat(0, 0, 100_000, INTERVAL);
+        let up_ms = Roster::join_delay_ms(INTERVAL);
+        places.roster.update_list(name, names.iter().map(String::as_str), Some(up_ms), 0, 100_000);
+        places.roster.update_list(name, names.iter().map(String::as_str), Some(u64::MAX), 0, 100_000);
+        places.roster.confirm_heartbeat(0, 0, 100_000, INTERVAL);
     }
     let mut seconds = vec![0; 5];
     for now in (0..5_000).step_by(50) {
