--- a/crates/route/src/notice.rs
+++ b/crates/route/src/notice.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of requests that end upstreams, and whom.
+//! Notices that routers exchange about requests which crash upstreams, and who receives them.
 
 use crate::Millis;
 use crate::quarantine::{Crashes, DENIAL_THRESHOLD, Fingerprint, Quarantine, Stage, Upstreams, Verdict};
@@ -6,76 +6,78 @@
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Routers that are told of an end under a request where not all are: one of them hears it even if another one is cut off and a
-/// message is lost.
+/// The number of routers that are told of a crash if not all of them are. With three, one learns of it even
+/// if another one is cut off and a message is lost.
 pub const COORDINATOR_COUNT: usize = 3;
-/// In a fleet of up to so many routers all are told of each suspect that was silent; in a larger one of such a part of them.
+/// In a fleet of up to this many routers, all are told of each suspect that was unanswered at a crash. In a
+/// larger fleet of `n` routers, all are told of this many in `n` of these suspects.
 const FULL_BROADCAST_ROUTERS: u64 = 32;
-/// Suspects that each router hears of in a second, where all are told.
+/// The rate at which each router receives notices about suspects that are sent to all routers.
 const BROADCASTS_PER_S: f64 = 20.0;
-/// Suspects that each router may tell all of at once: those of some upstreams' ends.
+/// The most such notices that a router may send at once: enough for the suspects of a few crashes.
 const BROADCAST_BURST: f64 = 8.0;
-/// Names of upstreams in one message at most, and the longest, in bytes.
+/// The most upstreams in one notice, and the longest name of one, in bytes.
 const MAX_UPSTREAMS: usize = 8;
 const MAX_NAME_BYTES: usize = 120;
 
-/// What routers tell each other of a request.
+/// What one router tells others about a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Notice {
-    /// These ended under it.
+    /// The request was present at crashes.
     Suspect {
         /// The request.
         fingerprint: Fingerprint,
-        /// All ends that the sender knows of.
+        /// All crashes that the sender knows of.
         ends: Crashes,
     },
-    /// It is denied.
+    /// The request is denied.
     Denied {
         /// The request.
         fingerprint: Fingerprint,
-        /// Upstreams that ended under it.
+        /// Upstreams that crashed while they ran it.
         upstreams: Upstreams,
-        /// For how long, in milliseconds.
+        /// How long the denial lasts, in milliseconds.
         lasts_ms: Millis,
     },
-    /// An upstream outlived it.
+    /// An upstream survived a run of the request.
     Cleared {
         /// The request.
         fingerprint: Fingerprint,
-        /// How many ends it is cleared of, as far as the sender knows.
+        /// The number of crashes that the sender held against it until then.
         ends: usize,
     },
 }
 
-/// Who is told.
+/// The routers that receive a notice.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Recipients {
-    /// The routers that a fingerprint [prefers](coordinators).
+    /// The [coordinators] of a fingerprint.
     Coordinators(Fingerprint),
     /// Every router.
     All,
 }
 
-/// What to do after word was taken in.
+/// What to do after a crash was recorded or a notice applied.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FollowUp {
-    /// What to tell the others.
+    /// The notice to send to other routers.
     pub notice: Option<Notice>,
-    /// Whether to [decide](Quarantine::decide) once the time for that has come.
+    /// Whether to call [`Quarantine::decide`] after
+    /// [`DECISION_DELAY_MS`](crate::quarantine::DECISION_DELAY_MS).
     pub is_decision_due: bool,
 }
 
 impl Notice {
-    /// Whether it can be what a router says: an altered message may hold anything.
+    /// Whether a router can have sent this notice. A message that was altered may hold anything.
     pub fn is_valid(&self) -> bool {
-        let is_name = |name: &str| name.len() <= MAX_NAME_BYTES;
+        let is_valid_name = |name: &str| name.len() <= MAX_NAME_BYTES;
         match self {
             Notice::Suspect { ends, .. } => {
-                ends.len() <= MAX_UPSTREAMS && ends.iter().all(|crash| is_name(&crash.upstream))
+                ends.len() <= MAX_UPSTREAMS && ends.iter().all(|crash| is_valid_name(&crash.upstream))
             }
             Notice::Denied { upstreams, .. } => {
                 (DENIAL_THRESHOLD..=MAX_UPSTREAMS).contains(&upstreams.len())
-                    && upstreams.iter().all(|name| is_name(name))
+                    && upstreams.iter().all(|name| is_valid_name(name))
             }
             Notice::Cleared { .. } => true,
         }
@@ -83,7 +85,7 @@
 }
 
 impl Quarantine {
-    /// Takes in an end that this router saw itself.
+    /// Records a crash that this router observed itself.
     pub fn observe_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -98,24 +100,26 @@
         self.follow_up(fingerprint, true, now)
     }
 
-    /// Takes in that an upstream outlived a request of this router: what to tell the others, if it was suspect.
+    /// Records that an upstream survived a run of a request that this router dispatched. Returns the notice
+    /// to send if the request was a suspect.
     pub fn record_survival(&mut self, fingerprint: Fingerprint) -> Option<Notice> {
         let ends = self.clear(fingerprint);
         (ends > 0).then_some(Notice::Cleared { fingerprint, ends })
     }
 
-    /// Takes in what another router says.
+    /// Applies a notice from another router.
     pub fn apply(&mut self, notice: &Notice, now: Millis) -> FollowUp {
         match notice {
             Notice::Suspect { fingerprint, ends } => {
-                let known = self.crashes(*fingerprint).len();
+                let known_before = self.crashes(*fingerprint).len();
                 for crash in ends {
                     self.record_crash(*fingerprint, &crash.upstream, crash.stage, now);
                 }
-                let all = self.crashes(*fingerprint).len();
-                // Who can add to what was said has_news all; otherwise all have heard it.
-                if all > known {
-                    self.follow_up(*fingerprint, all > ends.len(), now)
+                let known_now = self.crashes(*fingerprint).len();
+                // A router that knows of more crashes than the notice names passes all of them on. Otherwise
+                // the sender has already told those concerned.
+                if known_now > known_before {
+                    self.follow_up(*fingerprint, known_now > ends.len(), now)
                 } else {
                     FollowUp::default()
                 }
@@ -138,11 +142,12 @@
     }
 }
 
-/// Bounds the word that goes to all.
+/// Limits the notices that are sent to all routers.
 ///
-/// All should know what was silent at an upstream that ended, since it shares the blame. But in a large fleet that loses many upstreams, each
-/// router would hear of thousands. So of those with one end a part is told to all, the smaller the larger the fleet, and the others to a
-/// few; and together the routers tell all of a fixed number a second.
+/// All routers should know which requests were unanswered at a crash, since these share the blame for it. But
+/// if a large fleet loses many upstreams, each router would receive thousands of notices. So of the suspects
+/// with a single crash, only a sample is sent to all routers, a smaller part the larger the fleet, and the
+/// rest to a few routers. In addition, the routers together send to all at a fixed rate.
 #[derive(Clone, Copy, Debug)]
 pub struct NoticeLimiter {
     tokens: f64,
@@ -156,7 +161,7 @@
 }
 
 impl NoticeLimiter {
-    /// Who is told in a fleet of so many routers.
+    /// The recipients of a notice in a fleet of `routers` routers.
     pub fn recipients(&mut self, notice: &Notice, routers: usize, now: Millis) -> Recipients {
         let is_sampled =
             |fingerprint: &Fingerprint| fingerprint.seed() % (routers as u64).max(1) < FULL_BROADCAST_ROUTERS;
@@ -185,7 +190,8 @@
     }
 }
 
-/// The peers that a fingerprint prefers, whoever asks: each with the name by which all know it.
+/// The peers that coordinate the decision on a fingerprint, by rendezvous hashing: every router gets the same
+/// ones from the same names. Each peer comes with the name by which all routers know it.
 pub fn coordinators<P, N: AsRef<[u8]>>(
     fingerprint: Fingerprint,
     peers: impl IntoIterator<Item = (P, N)>,
--- a/crates/route/src/overload.rs
+++ b/crates/route/src/overload.rs
@@ -1,78 +1,79 @@
-//! Whether a gateway has more work than its VM bears, and what it does about it.
+//! Detection of a gateway that has more work than its VM can handle, and shedding of its connections.
 //!
-//! Callers reach a gateway by a hash of who they are, so one large caller overruns one small VM while its neighbours have room. Only
-//! the balancer can bring callers elsewhere, and it follows readiness: an overrun gateway steps back, so that new connections go to
-//! others, and closes some of those that it has after their answers, so that there are new ones.
+//! The balancer assigns callers to gateways by a hash of the caller, so one large caller can overload a small
+//! VM while its neighbours have spare capacity. Only the balancer can move callers elsewhere, and it follows
+//! readiness. So an overloaded gateway reports that it is not ready, so that new connections go to other
+//! gateways, and closes some of its connections after their answers, so that their callers open new ones.
 //!
 //! ```
 //! use route::{LoadSample, OverloadMonitor};
 //!
-//! let mut strain = OverloadMonitor::new(None);
-//! for at in (0..2_000).step_by(100) {
-//!     strain.record(LoadSample { at, timer_delay_ms: 80.0, link_bytes: 0 });
-//! }
-//! assert!(strain.is_unready(), "it was late all the time");
-//! ```
+//! let mut monitor = OverloadMonitor::new(None); for at in (0..2_000).step_by(100) {
+//! monitor.record(LoadSample { at, timer_delay_ms: 80.0, link_bytes: 0 }); } assert!(monitor.is_unready(),
+//! "its timers were late all the time"); ```
 
 use crate::Millis;
 
-/// A gateway whose timers are so late is overrun, in milliseconds: a request passes its event loop some five times, so this takes
-/// half of the time that the shortest calls have.
+/// The timer delay from which on a gateway is overloaded, in milliseconds. A request passes the event loop
+/// about five times, so this delay takes up half of the time allowed for the shortest calls.
 const OVERLOAD_DELAY_MS: f64 = 30.0;
-/// A gateway whose timers are no later than this has room again, in milliseconds.
+/// The timer delay up to which a gateway has recovered, in milliseconds.
 const RECOVERY_DELAY_MS: f64 = 8.0;
-/// Timers that are later than this count as so late, in milliseconds: a VM that stood still for seconds is not overrun.
+/// Longer timer delays are counted as this one, in milliseconds: a VM that was paused for seconds is not
+/// overloaded.
 const MAX_DELAY_MS: f64 = 40.0;
-/// A link of which so much is used is full soon, as a share: for two seconds more the balancer sends whoever comes.
+/// The utilization of the link, as a share, from which on a gateway is overloaded. Below 1, since the
+/// balancer keeps sending new connections for two more seconds.
 const OVERLOAD_UTILIZATION: f64 = 0.6;
-/// A link of which no more than this is used has room again, as a share.
+/// The utilization of the link, as a share, up to which a gateway has recovered.
 const RECOVERY_UTILIZATION: f64 = 0.35;
-/// The time over which samples count, in milliseconds: a prompt takes a tenth of it on a link of 10 Mbit/s.
+/// The time constant of the averages, in milliseconds. A prompt takes a tenth of it on a link of 10 Mbit/s.
 const AVERAGING_TIME_MS: f64 = 200.0;
-/// How long a gateway is overrun before it steps back, in milliseconds.
+/// How long a gateway has to be overloaded before it becomes unready, in milliseconds.
 const OVERLOAD_DURATION_MS: Millis = 100;
-/// How long a gateway stays back at least, in milliseconds: the balancer asks each second and believes the second answer.
+/// How long a gateway stays unready at least, in milliseconds: the balancer checks every second and acts on
+/// the second failed check.
 const MIN_UNREADY_MS: Millis = 3_000;
-/// The part of the answers after which an overrun gateway that has stepped back closes the connection: with few the load stays, and
-/// with all of them it moves on to the next gateway at once.
+/// The share of answers after which an overloaded, unready gateway closes the connection. With a small share
+/// the load stays, and with all of them it would move to the next gateway at once.
 const CLOSE_PROBABILITY: f64 = 0.3;
 
-/// What was observed of a gateway at one moment.
+/// The load of a gateway at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSample {
-    /// When.
+    /// When the sample was taken.
     pub at: Millis,
-    /// How late its timer was, in milliseconds.
+    /// How late the gateway's timer fired, in milliseconds.
     pub timer_delay_ms: f64,
-    /// Bytes that elapsed_ms the fuller direction of its link since the sample before.
+    /// Bytes in the busier direction of the link since the previous sample.
     pub link_bytes: u64,
 }
 
-/// What changed with a sample.
+/// How a sample changed the readiness of a gateway.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadinessChange {
-    /// Nothing.
+    /// The readiness is unchanged.
     Unchanged,
-    /// The gateway takes no new callers from now on.
+    /// The gateway takes no new connections from now on.
     BecameUnready,
-    /// It takes new callers again.
+    /// The gateway takes new connections again.
     BecameReady,
 }
 
-/// How a gateway bears its work.
+/// Determines from averaged samples whether a gateway is ready for new connections.
 #[derive(Clone, Debug)]
 pub struct OverloadMonitor {
     link_bytes_per_s: Option<f64>,
     last_sample: Option<Millis>,
     timer_delay_ms: f64,
-    /// The share of the link that is used.
+    /// As a share of the capacity of the link.
     link_utilization: f64,
     overloaded_since: Option<Millis>,
     unready_since: Option<Millis>,
 }
 
 impl OverloadMonitor {
-    /// A gateway with a link that carries so many bytes in a second, if that is known.
+    /// Creates a monitor for a gateway whose link carries `link_bytes_per_s`, if that is known.
     pub fn new(link_bytes_per_s: Option<f64>) -> OverloadMonitor {
         OverloadMonitor {
             link_bytes_per_s,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Takes in what was observed.
+    /// Updates the averages with a sample, and the readiness.
     pub fn record(&mut self, sample: LoadSample) -> ReadinessChange {
         let LoadSample { at, timer_delay_ms, link_bytes } = sample;
         let elapsed_ms = at.saturating_sub(self.last_sample.replace(at).unwrap_or(at)) as f64;
@@ -124,17 +125,17 @@
         self.timer_delay_ms <= RECOVERY_DELAY_MS && self.link_utilization <= RECOVERY_UTILIZATION
     }
 
-    /// Whether the gateway takes no new callers.
+    /// Whether the gateway takes no new connections.
     pub fn is_unready(&self) -> bool {
         self.unready_since.is_some()
     }
 
-    /// Whether the connection of an answer is closed after it; `random` is drawn evenly between 0 and 1.
+    /// Whether to close a connection after its answer; `random` is uniformly distributed between 0 and 1.
     pub fn should_close_connection(&self, random: f64) -> bool {
         self.is_unready() && self.is_overloaded() && random < CLOSE_PROBABILITY
     }
 
-    /// How late timers are, in milliseconds, and the share of the link that is used.
+    /// The average timer delay, in milliseconds, and the average utilization of the link, as a share.
     pub fn averages(&self) -> (f64, f64) {
         (self.timer_delay_ms, self.link_utilization)
     }
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -1,24 +1,22 @@
-//! Requests that end the upstreams which run them, told from those that only ran beside them.
+//! Detection of requests that crash the upstreams which run them.
 //!
-//! The load that this answers: a caller sends such a request again and again, to any router, and each upstream that begins to run it ends
-//! with all that it runs. One end proves nothing: everything that ran there is suspect, and an upstream may end for reasons of
-//! its own. What is there each time is not there by chance. So each router takes down under which requests upstreams ended, the
-//! routers tell each other, and a request under which [`DENIAL_THRESHOLD`] ended is denied if most of the blame for them is its own: the blame
-//! for an end is shared by all that had not answered yet there, the more on one the more ends it has seen.
+//! A caller may send such a request repeatedly, through any router, and each upstream that begins to run it
+//! crashes, together with everything else that runs there. A single crash does not identify the cause: every
+//! request that ran there is suspect, and the upstream may have crashed for another reason. But a request
+//! that is present at each crash is not there by chance. So each router records which requests were running
+//! when an upstream crashed, and the routers exchange these records. A request that was unanswered at
+//! [`DENIAL_THRESHOLD`] crashes is denied if it bears most of the blame for them. The blame for a crash is
+//! shared by all requests that were unanswered there; the more crashes a request was present at, the larger
+//! its share.
 //!
 //! ```
-//! use route::quarantine::{Fingerprint, Quarantine, Stage, Verdict};
+//! use route::quarantine::{DECISION_DELAY_MS, Fingerprint, Quarantine, Stage, Verdict};
 //!
-//! let (request, beside) = (Fingerprint::new([1; 16]), Fingerprint::new([2; 16]));
-//! let mut quarantine = Quarantine::default();
-//! quarantine.record_crash(beside, "engine-1", Stage::Silent, 0);
-//! for upstream in ["engine-1", "engine-2", "engine-3"] {
-//!     quarantine.record_crash(request, upstream, Stage::Silent, 0);
-//! }
-//! assert_eq!(quarantine.decide(route::quarantine::DECISION_DELAY_MS), [request]);
-//! assert_eq!(quarantine.verdict(request, 200), Verdict::Denied);
-//! assert_eq!(quarantine.verdict(beside, 200), Verdict::Clear);
-//! ```
+//! let (request, bystander) = (Fingerprint::new([1; 16]), Fingerprint::new([2; 16])); let mut quarantine =
+//! Quarantine::default(); quarantine.record_crash(bystander, "engine-1", Stage::Silent, 0); for upstream in
+//! ["engine-1", "engine-2", "engine-3"] { quarantine.record_crash(request, upstream, Stage::Silent, 0); }
+//! assert_eq!(quarantine.decide(DECISION_DELAY_MS), [request]); assert_eq!(quarantine.verdict(request, 200),
+//! Verdict::Denied); assert_eq!(quarantine.verdict(bystander, 200), Verdict::Clear); ```
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
@@ -27,41 +25,48 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Upstreams that end under a request before it is denied. Two may end by chance under one that is tried again where many end; a third
-/// needs the request to be there each time.
+/// The number of crashes before its first answer at which a request may be denied. While many upstreams
+/// crash, a request that is retried may be present at two crashes by chance; three are only reached if it is
+/// present each time.
 pub const DENIAL_THRESHOLD: usize = 3;
-/// How long a router waits for word of what else ran at the last upstream, in milliseconds: several times a datagram's way.
+/// The time for which a router waits for reports on what else ran at the last crashed upstream, in
+/// milliseconds: several times the latency of a datagram.
 pub const DECISION_DELAY_MS: Millis = 100;
-/// Upstreams from which on a request is denied though others were there too, or though it had answered each time.
+/// The number of crashes at which a request is denied even if other requests were present each time, or if it
+/// had been answered each time.
 const CERTAINTY_THRESHOLD: usize = 5;
-/// The part of the blame for its ends from which on a request is denied. What was beside the cause has less than half of it.
+/// The share of the blame for its crashes above which a request is denied. Requests that ran beside the cause
+/// bear less than half.
 const MIN_BLAME_SHARE: f64 = 0.5;
-/// A run that broke off later than this after its first answer, in milliseconds, doesn't speak against its request: one that
-/// ends its upstream does so as it begins to run, and most of what is beside it runs for seconds.
+/// A crash later than this after the first answer, in milliseconds, is not counted against the request: a
+/// harmful request crashes its upstream as it begins to run, and most requests beside it run for seconds.
 const EARLY_RUN_MS: Millis = 1_000;
-/// How long an end is held against a request, in milliseconds: some times what a patient caller waits between two tries.
+/// The time after the last crash for which the crashes are held against a request, in milliseconds: several
+/// times the interval between the retries of a patient caller.
 const CRASH_RETENTION_MS: Millis = 300_000;
-/// How long a request stays denied after it last came, in milliseconds. Then it may end three more upstreams.
+/// How long a denial lasts, in milliseconds. It is renewed if the request is received again in the second
+/// half of this time. A request whose denial has expired may crash [`DENIAL_THRESHOLD`] more upstreams.
 pub const DENIAL_DURATION_MS: Millis = 600_000;
-/// Suspects that are remembered: those whose last upstream ended the longest ago give way.
+/// The most suspects to remember. The one whose last crash is the longest ago is evicted first.
 const MAX_SUSPECTS: usize = 4_096;
-/// Denied requests that are remembered.
+/// The most denied requests to remember. The one whose denial expires first is evicted first.
 const MAX_DENIALS: usize = 1_024;
-/// Upstreams remembered for each request.
+/// The most upstreams to remember for each request.
 const MAX_UPSTREAMS: usize = 8;
 
-/// How a run stood when its upstream ended.
+/// The progress of a run at the time of the crash.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Stage {
-    /// It had answered a moment ago: that is what most of those do that are there by chance.
+    /// The first answer had arrived shortly before, as for most requests that are present by chance.
     Begun,
-    /// It had not answered yet.
+    /// No answer had arrived yet.
     Silent,
 }
 
 impl Stage {
-    /// The stage of a run by the time since its first answer, in milliseconds; `None` if it had run for so long that the end does not
-    /// speak against its request.
+    /// The stage of a run by the time since its first answer, in milliseconds, or `None` if there was no
+    /// answer. Returns `None` if the run had lasted for so long that the crash is not counted against its
+    /// request.
     pub fn of(begun_ms: Option<Millis>) -> Option<Stage> {
         match begun_ms {
             None => Some(Stage::Silent),
@@ -70,55 +75,55 @@
     }
 }
 
-/// The end of an upstream under a request.
+/// The crash of an upstream while it ran a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Crash {
-    /// The upstream.
+    /// The name of the upstream.
     pub upstream: String,
-    /// How the run stood.
+    /// The progress of the run.
     pub stage: Stage,
 }
 
-/// Crashes under one request.
+/// The crashes at which one request was present.
 pub type Crashes = SmallVec<[Crash; 4]>;
 
-/// Names of upstreams that ended.
+/// Names of crashed upstreams.
 pub type Upstreams = SmallVec<[String; 4]>;
 
-/// What is known of a request.
+/// The state of a request in the quarantine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// Nothing is held against it.
     Clear,
-    /// So many upstreams ended under it.
+    /// It was present at this many crashes.
     Suspect(usize),
-    /// It is decided on within [`DECISION_DELAY_MS`], and should not run until then.
+    /// A decision is due within [`DECISION_DELAY_MS`], and the request should not run until then.
     Undecided,
     /// It must not run again.
     Denied,
 }
 
-/// A request under which upstreams ended.
+/// A request that was present at crashes.
 #[derive(Clone, Debug)]
 struct Suspect {
     crashes: Crashes,
     last_crash: Millis,
-    /// When it is decided on.
+    /// When to decide on it, if it was present at enough crashes.
     decision_due: Option<Millis>,
-    /// Whether this router saw one of the ends itself.
+    /// Whether this router observed one of the crashes itself.
     is_firsthand: bool,
 }
 
-/// A request that is denied.
+/// A denied request.
 #[derive(Clone, Debug)]
 struct Denial {
     upstreams: Upstreams,
     until: Millis,
-    /// Whether this router saw one of the ends itself.
+    /// Whether this router observed one of the crashes itself.
     is_firsthand: bool,
 }
 
-/// What one router knows of requests that end upstreams.
+/// What one router knows of requests that crash upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
@@ -126,17 +131,18 @@
 }
 
 impl Quarantine {
-    /// Whether it knows of any request: as long as it doesn't, none has to be looked up.
+    /// Whether there are neither suspects nor denials, so that requests need not be looked up.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.denials.is_empty()
     }
 
-    /// How many requests are denied.
+    /// The number of denied requests.
     pub fn denied_count(&self) -> usize {
         self.denials.len()
     }
 
-    /// Takes in that an upstream ended under a request; `true` if that is new and not explained by a denied request that ran there too.
+    /// Records the crash of an upstream while it ran a request. Returns whether it is new and not explained
+    /// by a denied request that ran there too.
     pub fn record_crash(&mut self, request: Fingerprint, upstream: &str, stage: Stage, now: Millis) -> bool {
         self.expire(now);
         if let Some(denial) = self.denials.get_mut(&request) {
@@ -164,43 +170,47 @@
         true
     }
 
-    /// The ends under a suspect.
+    /// The crashes at which a suspect was present.
     pub fn crashes(&self, request: Fingerprint) -> Crashes {
         self.suspects.get(&request).map(|suspect| suspect.crashes.clone()).unwrap_or_default()
     }
 
-    /// The upstreams that ended under a denied request; `None` if it isn't denied.
+    /// The upstreams that crashed while they ran a denied request; `None` if the request is not denied.
     pub fn denied_upstreams(&self, request: Fingerprint) -> Option<Upstreams> {
         self.denials.get(&request).map(|denial| denial.upstreams.clone())
     }
 
-    /// Lets a denied request run again, as operators say; `true` if it was denied. Its earlier ends count no more.
+    /// Lifts a denial on behalf of an operator, and discards the crashes recorded so far. Returns whether the
+    /// request was denied.
     pub fn lift(&mut self, request: Fingerprint) -> bool {
         self.suspects.remove(&request);
         self.denials.remove(&request).is_some()
     }
 
-    /// Whether this router saw one of the ends under a denied request itself. Those that did, a few, tell the others and keep it; all that
-    /// heard of the ends decide alike.
+    /// Whether this router observed one of the crashes of a denied request itself. Only the few routers that
+    /// did tell the others and store the denial, since all routers that know of the crashes reach the same
+    /// decision.
     pub fn is_firsthand(&self, request: Fingerprint) -> bool {
         self.denials.get(&request).is_some_and(|denial| denial.is_firsthand)
     }
 
-    /// Takes in that this router saw an end of a suspect itself.
+    /// Records that this router observed a crash of a suspect itself.
     pub(crate) fn mark_firsthand(&mut self, request: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.is_firsthand = true;
         }
     }
 
-    /// Takes in that an upstream outlived a run of a request: it ends no upstream. How many ends it is cleared of.
+    /// Records that an upstream survived a run of a request, so that the request is not harmful. Returns the
+    /// number of crashes that are no longer held against it.
     pub fn clear(&mut self, request: Fingerprint) -> usize {
         self.suspects.remove(&request).map_or(0, |suspect| suspect.crashes.len())
     }
 
-    /// Decides on those whose time has come, and names those that are denied from now on.
+    /// Decides on all suspects that are due. Returns the requests that are denied from now on.
     ///
-    /// One that has not most of the blame stays suspect: what was beside it may be the cause. The next upstream that ends tells them apart.
+    /// A request that does not bear most of the blame stays suspect, since one that ran beside it may be the
+    /// cause. The next crash tells them apart.
     pub fn decide(&mut self, now: Millis) -> Vec<Fingerprint> {
         let is_due = |suspect: &Suspect| suspect.decision_due.is_some_and(|due| due <= now);
         let mut due: Vec<Fingerprint> = self
@@ -228,8 +238,8 @@
         denied
     }
 
-    /// Denies a request for so many milliseconds; `true` if it was not denied before. What else ran at these upstreams is cleared of their
-    /// ends.
+    /// Denies a request for `lasts_ms` milliseconds, at most [`DENIAL_DURATION_MS`]. Returns whether it was
+    /// not denied before. The crashes of `upstreams` are no longer held against other requests.
     pub fn deny(
         &mut self,
         request: Fingerprint,
@@ -256,7 +266,7 @@
         is_new
     }
 
-    /// What is known of a request that came.
+    /// The state of a received request.
     pub fn verdict(&self, request: Fingerprint, now: Millis) -> Verdict {
         if self.denials.get(&request).is_some_and(|denial| denial.until > now) {
             return Verdict::Denied;
@@ -268,7 +278,8 @@
         }
     }
 
-    /// Denies a request that came again for longer; its upstreams if that should be told, since half of the time was over.
+    /// Prolongs the denial of a request that was received again, if half of it or more has passed. Returns
+    /// the upstreams, for the other routers, if it did.
     pub fn renew(&mut self, request: Fingerprint, now: Millis) -> Option<Upstreams> {
         let denial = self.denials.get_mut(&request).filter(|denial| denial.until > now)?;
         if denial.until - now > DENIAL_DURATION_MS / 2 {
@@ -278,7 +289,7 @@
         Some(denial.upstreams.clone())
     }
 
-    /// Whether a suspect is the cause of its ends, as far as is known.
+    /// Whether a suspect is taken to be the cause of its crashes.
     fn is_cause(&self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get(&request) else { return false };
         let silent = suspect.silent_crashes();
@@ -287,22 +298,23 @@
         has_most_blame || suspect.crashes.len() >= CERTAINTY_THRESHOLD
     }
 
-    /// The ends that are a suspect's doing: each is shared by all that were silent there, by the square of the ends that
-    /// they have: the cause is there each time, and what is beside it seldom more than once.
+    /// The number of crashes that are put down to a suspect. Each crash is divided among the requests that
+    /// were unanswered there, weighted by the squares of their numbers of crashes: the cause is present each
+    /// time, and another request seldom more than once.
     fn blame(&self, suspect: &Suspect) -> f64 {
-        let own = suspect.silent_crashes().pow(2) as f64;
-        let total = |upstream: &str| -> usize {
+        let own_weight = suspect.silent_crashes().pow(2) as f64;
+        let total_weight = |upstream: &str| -> usize {
             let was_silent_there = |other: &&Suspect| other.stage(upstream) == Some(Stage::Silent);
             self.suspects.values().filter(was_silent_there).map(|other| other.silent_crashes().pow(2)).sum()
         };
         let shares = suspect.crashes.iter().filter(|crash| crash.stage == Stage::Silent);
-        shares.map(|crash| own / total(&crash.upstream) as f64).sum()
+        shares.map(|crash| own_weight / total_weight(&crash.upstream) as f64).sum()
     }
 
-    /// Takes ends whose cause is known from the others that ran there.
-    fn clear_explained(&mut self, ended: &[&str]) {
+    /// Discards the crashes of upstreams whose cause is known from the other requests that ran there.
+    fn clear_explained(&mut self, upstreams: &[&str]) {
         for suspect in self.suspects.values_mut() {
-            suspect.crashes.retain(|crash| !ended.contains(&crash.upstream.as_str()));
+            suspect.crashes.retain(|crash| !upstreams.contains(&crash.upstream.as_str()));
             if !suspect.is_decidable() {
                 suspect.decision_due = None;
             }
@@ -335,12 +347,12 @@
         self.crashes.iter().find(|crash| crash.upstream == upstream).map(|crash| crash.stage)
     }
 
-    /// Crashes before it had answered.
+    /// The number of crashes before its first answer.
     fn silent_crashes(&self) -> usize {
         self.crashes.iter().filter(|crash| crash.stage == Stage::Silent).count()
     }
 
-    /// Whether there are enough ends to decide on it.
+    /// Whether there are enough crashes to decide on it.
     fn is_decidable(&self) -> bool {
         self.silent_crashes() >= DENIAL_THRESHOLD || self.crashes.len() >= CERTAINTY_THRESHOLD
     }
@@ -352,25 +364,25 @@
     }
 }
 
-/// Adds a name that is not held yet, if there is room.
+/// Adds a name if it is not there yet and there is room.
 fn insert_upstream(upstreams: &mut Upstreams, name: &str) {
     if upstreams.len() < MAX_UPSTREAMS && !upstreams.iter().any(|known| known == name) {
         upstreams.push(name.to_owned());
     }
 }
 
-/// What a request is, whichever attempt of its caller it comes in: a digest of its path, its caller and its body.
+/// The identity of a request across all attempts of its caller: a digest of its host, path, caller and body.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// A fingerprint from the first bytes of a digest.
+    /// Creates a fingerprint from the first bytes of a digest.
     pub fn new(digest: [u8; 16]) -> Fingerprint {
         Fingerprint(u128::from_be_bytes(digest))
     }
 
-    /// Bytes that are spread evenly over fingerprints.
+    /// A seed for hashing and sampling; seeds of different fingerprints are evenly distributed.
     pub fn seed(self) -> u64 {
         self.0 as u64
     }
@@ -388,7 +400,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The error for a text that is not a fingerprint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseFingerprintError(String);
 
--- a/crates/route/src/roster.rs
+++ b/crates/route/src/roster.rs
@@ -1,27 +1,30 @@
-//! One gateway's list of all gateways, and its part of the requests that an upstream accepts from all of them together.
+//! One gateway's list of all gateways, and its part of the requests that an upstream accepts from all of them
+//! together.
 //!
-//! Gateways share no counts, so each determines its part from its own list. The gateways are placed on a hash ring.
-//! Of the requests that an upstream accepts per period, the first one goes to the first gateway at or after the
-//! upstream's point on the ring, the second one to the next gateway, and so on, cyclically.
+//! Gateways share no counts, so each determines its part from its own list. The gateways are placed on a hash
+//! ring. Of the requests that an upstream accepts per period, the first one goes to the first gateway at or
+//! after the upstream's point on the ring, the second one to the next gateway, and so on, cyclically.
 //!
-//! The sum stays within what the upstream accepts even if lists differ. A surplus entry in a list only reduces the parts of
-//! others, so it is enough that each gateway which takes part knows all others that do. [`Roster`] sees to that: a gateway takes part
-//! while its list is not older than [`Roster::list_validity_ms`], while its heartbeat is confirmed, and not before all lists that
-//! lack it have run out.
+//! The sum stays within what the upstream accepts even if the lists differ. A surplus entry in a list only
+//! reduces the parts of other gateways, so it is enough that each gateway which takes a part knows all others
+//! that do. [`Roster`] ensures this: a gateway takes a part only while its list is no older than
+//! [`Roster::list_validity_ms`], while its heartbeat is confirmed, and after all lists that lack it have
+//! expired.
 
 use crate::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time within which a gateway dispatches its part once, in milliseconds: a second, and the time by which one request may be
-/// longer on its way than the next.
+/// The time within which a gateway dispatches its part once, in milliseconds: one second, plus the time by
+/// which one request may take longer to arrive than the next.
 pub const SPAN_MS: Millis = 1_250;
-/// How long a list is used beyond the time that two reads of it take, in milliseconds: calls to a slow store.
+/// How long a list stays valid beyond two intervals of reading it, in milliseconds: allows for calls to a
+/// slow store.
 const LIST_SLACK_MS: Millis = 2_000;
 
 /// The gateways on a hash ring.
 #[derive(Clone, Debug)]
 struct Ring {
-    /// In rising order, this gateway's included.
+    /// In ascending order, including the own point.
     points: Vec<u64>,
     own: u64,
 }
@@ -35,7 +38,7 @@
         Ring { points, own }
     }
 
-    /// How many gateways stand between an upstream's point and this gateway.
+    /// The number of gateways between an upstream's point and this gateway.
     fn rank(&self, upstream: &str) -> usize {
         let count = self.points.len();
         let index = |point: u64| self.points.partition_point(|other| *other < point);
@@ -43,19 +46,19 @@
         (index(self.own) + count - first) % count
     }
 
-    /// This gateway's part of so many requests.
+    /// This gateway's part of `requests`.
     fn part(&self, upstream: &str, requests: usize) -> usize {
         requests.saturating_sub(self.rank(upstream)).div_ceil(self.points.len())
     }
 }
 
-/// The list of gateways as one of them read it, and whether it may act by it.
+/// The list of gateways as one of them last read it, and whether that gateway may use it.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     ring: Option<Ring>,
-    /// Until when the list counts.
+    /// When the list expires.
     list_valid_until: Millis,
-    /// Until when the last heartbeat counts.
+    /// When the last confirmed heartbeat expires.
     heartbeat_valid_until: Millis,
     /// When the current list was requested.
     list_requested_at: Millis,
@@ -64,24 +67,25 @@
     joining_listed_from: Option<Millis>,
     /// When the list and the heartbeat last became valid after one of them had expired.
     current_since: Millis,
-    /// From when on all lists that count name this gateway; `None` while it is not listed.
+    /// From when on all valid lists name this gateway; `None` while it is not listed.
     listed_everywhere_from: Option<Millis>,
 }
 
 impl Roster {
-    /// How long a list counts that is read every `interval_ms`, in milliseconds.
+    /// How long a list that is read every `interval_ms` is valid, in milliseconds.
     pub fn list_validity_ms(interval_ms: Millis) -> Millis {
         2 * interval_ms + LIST_SLACK_MS
     }
 
-    /// How long a gateway that is new to the list takes no part, in milliseconds: other gateways may read theirs less often, and
-    /// an answer may be older than its arrival.
+    /// How long a newly listed gateway takes no part, in milliseconds. Twice the validity of a list, since
+    /// other gateways may read theirs less often, and an answer may be older than its arrival.
     pub fn join_delay_ms(interval_ms: Millis) -> Millis {
         2 * Roster::list_validity_ms(interval_ms)
     }
 
-    /// Takes in a list that was requested_at for at `requested_at` and is read every `interval_ms`. `own_uptime_ms` is how long this gateway, or an earlier process of
-    /// its name, had run by its row, if that is listed.
+    /// Replaces the list by one that was requested at `requested_at` and is read every `interval_ms`.
+    /// `own_uptime_ms` is the uptime in this gateway's row, possibly that of an earlier process of the same
+    /// name; `None` if it is not listed.
     pub fn update_list<'a>(
         &mut self,
         own: &str,
@@ -95,7 +99,8 @@
         self.list_requested_at = requested_at;
         self.list_valid_until = requested_at + Roster::list_validity_ms(interval_ms);
         match own_uptime_ms {
-            // An earlier process was in all lists already, and may have dispatched its part just before it ended.
+            // The earlier process was in all lists already, and may have dispatched its part just before it
+            // ended.
             Some(uptime_ms)
                 if self.listed_everywhere_from.is_none()
                     && uptime_ms >= Roster::join_delay_ms(interval_ms) =>
@@ -107,7 +112,8 @@
         }
     }
 
-    /// Takes in that a heartbeat which was sent_at at `sent` was confirmed at `now`, and counts for `validity_ms`.
+    /// Records that a heartbeat sent at `sent_at` was confirmed at `now`. It is valid for `validity_ms` from
+    /// when it was sent.
     pub fn confirm_heartbeat(
         &mut self,
         sent_at: Millis,
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Takes no part any more: this gateway takes its row out of the list.
+    /// Stops taking a part, since this gateway removes its row from the list.
     pub fn leave(&mut self) {
         self.listed_everywhere_from = None;
         self.joining_listed_from = None;
--- a/crates/route/src/signals.rs
+++ b/crates/route/src/signals.rs
@@ -1,47 +1,53 @@
-//! What upstreams say of themselves in their answers, whatever the list of upstreams says.
+//! What upstreams report about themselves in their answers: that they leave, want no requests for a while, or
+//! limit them.
 //!
-//! An upstream knows first that it leaves, and the list may say it long after, not at all, or say otherwise meanwhile. So its own word
-//! holds until another life of it begins: while it is listed, and also if its entry lapses and comes back.
+//! An upstream is the first to know that it leaves. The list of upstreams may show it long after, not at all,
+//! or state the opposite meanwhile. So its own report stays valid until the upstream restarts, even if its
+//! entry in the list is removed and comes back.
 //!
-//! One that asks for rest when it refuses a request has more work than it bears, and each further request costs it some of what it
-//! has. It gets nothing for so long, also if no other upstream is left: callers are told at once when the first one takes work again.
+//! An upstream that refuses a request and asks for a back-off has more work than it can handle, and each
+//! further request costs it some of its remaining capacity. It gets no requests for that time, even if no
+//! other upstream is left: callers are told at once when the first upstream accepts requests again.
 
 use crate::Millis;
 use crate::limit::{Limit, LimitUpdate};
 use crate::roster::Roster;
 use std::collections::HashMap;
 
-/// How long an upstream's word is remembered, in milliseconds: one that leaves is gone long before.
+/// How long an upstream's reports are kept after the last one, in milliseconds. An upstream that leaves is
+/// gone long before.
 const RETENTION_MS: Millis = 600_000;
 
-/// The longest rest that an upstream gets, in milliseconds: one that says a day, by mistake, is asked again sooner.
+/// The longest back-off that is accepted, in milliseconds: an upstream that asks for a day by mistake is
+/// tried again sooner.
 const MAX_BACKOFF_MS: Millis = 300_000;
-/// Callers come back over so long after a rest, in milliseconds: together they would be the next thing that is too much.
+/// The time over which the retries of callers are spread after a back-off, in milliseconds: all at once, they
+/// would overload the upstream again.
 const RETRY_SPREAD_MS: u64 = 500;
 
-/// What one upstream said.
+/// What one upstream reported.
 #[derive(Clone, Debug, Default)]
 struct Signal {
     is_leaving: bool,
-    /// Until when it wants nothing.
+    /// When the back-off that it asked for ends.
     backoff_until: Millis,
     /// The request limit that it named.
     limit: Option<Limit>,
     updated: Millis,
 }
 
-/// What all upstreams said, by their names.
+/// What all upstreams reported, by name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Signals(HashMap<String, Signal>);
 
 impl Signals {
-    /// Takes in that an upstream leaves; `true` if that is new.
+    /// Records that an upstream leaves. Returns whether this is new.
     pub(crate) fn mark_leaving(&mut self, upstream: &str, now: Millis) -> bool {
         let signal = self.signal(upstream, now);
         !std::mem::replace(&mut signal.is_leaving, true)
     }
 
-    /// Takes in that an upstream wants nothing for so many milliseconds; those that it gets.
+    /// Records that an upstream asks for a back-off of `ms` milliseconds. Returns the back-off that it gets.
     pub(crate) fn back_off(&mut self, upstream: &str, ms: Millis, now: Millis) -> Millis {
         let ms = ms.min(MAX_BACKOFF_MS);
         let signal = self.signal(upstream, now);
@@ -120,22 +126,22 @@
         }
     }
 
-    /// Whether an upstream said that it leaves.
+    /// Whether an upstream reported that it leaves.
     pub(crate) fn is_leaving(&self, upstream: &str) -> bool {
         self.0.get(upstream).is_some_and(|signal| signal.is_leaving)
     }
 
-    /// How long an upstream still rests, in milliseconds; 0 if it doesn't.
+    /// The remaining back-off of an upstream, in milliseconds; 0 if there is none.
     pub(crate) fn backoff_ms(&self, upstream: &str, now: Millis) -> Millis {
         self.0.get(upstream).map_or(0, |signal| signal.backoff_until.saturating_sub(now))
     }
 
-    /// Whether an upstream takes work, as far as it said itself.
+    /// Whether an upstream accepts requests, by its own reports on leaving and back-off.
     pub(crate) fn admits(&self, upstream: &str, now: Millis) -> bool {
         self.0.get(upstream).is_none_or(|signal| !signal.is_leaving && signal.backoff_until <= now)
     }
 
-    /// Forgets what an upstream said: another life of it began.
+    /// Discards the reports of an upstream that has restarted.
     pub(crate) fn forget(&mut self, upstream: &str) {
         self.0.remove(upstream);
     }
@@ -148,7 +154,8 @@
     }
 }
 
-/// When a caller should come back whom upstreams can't serve before `rest_ms`, in milliseconds: not all at once, each by its `seed`.
+/// The time after which a caller should retry that no upstream can serve within `backoff_ms`, in
+/// milliseconds. Spread by `seed`, so that callers do not all retry at once.
 pub fn retry_after_ms(backoff_ms: Millis, seed: u64) -> Millis {
     backoff_ms + seed % RETRY_SPREAD_MS
 }
--- a/crates/route/src/warmup.rs
+++ b/crates/route/src/warmup.rs
@@ -1,28 +1,31 @@
-//! How many requests an upstream that warms up gets from each gateway.
+//! Limits on requests to upstreams that warm up.
 //!
-//! An upstream that has just started, or lost its caches, falls over under the load that a warm one bears, and it looks idle to all
-//! gateways at once. What it bears is a rate, summed over all gateways; [`crate::roster`] determines the part of each.
+//! An upstream that has just started, or lost its caches, fails under the load that a warm one sustains, and
+//! it looks idle to all gateways at once. So the rate that it sustains, summed over all gateways, is limited;
+//! [`crate::roster`] determines the part of each gateway.
 
 use crate::Millis;
 use crate::roster::{Roster, SPAN_MS};
 use smallvec::SmallVec;
 
-/// The longest warm-up that is believed, in milliseconds: one that says a day, by mistake, is asked again sooner.
+/// The longest warm-up that is accepted, in milliseconds: an upstream that reports a day by mistake is tried
+/// again sooner.
 const MAX_DURATION_MS: Millis = 60_000;
-/// The rate of an upstream that warms up and is said to bear nothing, in requests a second.
+/// The lowest limit of an upstream that warms up, in requests per second, even if it is configured to take
+/// none.
 const MIN_PER_S: f64 = 1.0;
 
-/// What the upstreams of a service bear while they warm up.
+/// The limit for the upstreams of a service while they warm up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
-    /// Requests in a second, from all gateways together.
+    /// Requests per second, from all gateways together.
     pub per_s: f64,
-    /// How long it takes after a start, in milliseconds.
+    /// How long a warm-up takes after a start, in milliseconds.
     pub duration_ms: Millis,
 }
 
 impl Warmup {
-    /// Whole requests in a second.
+    /// The limit in whole requests per second.
     fn requests(self) -> usize {
         self.per_s.max(MIN_PER_S) as usize
     }
@@ -32,32 +35,32 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum WarmupState {
     Warm,
-    /// It may have started again, and nothing says so yet.
+    /// It may have restarted, which is not confirmed yet.
     Uncertain,
     WarmingUp,
 }
 
-/// How one upstream warms up.
+/// The warm-up of one upstream, and this gateway's recent dispatches to it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WarmupTracker {
     warming_until: Millis,
     uncertain_until: Millis,
-    /// Dispatches of this gateway within the last span: those before it was known to warm up count too.
+    /// This gateway's dispatches within the last span, including those before the warm-up became known.
     sent: SmallVec<[Millis; 4]>,
 }
 
 impl WarmupTracker {
-    /// Takes in that it warms up for so many milliseconds from now on.
+    /// Records that the upstream warms up for `ms` milliseconds from now on.
     pub(crate) fn start(&mut self, ms: Millis, now: Millis) {
         self.warming_until = self.warming_until.max(now + ms.min(MAX_DURATION_MS));
     }
 
-    /// Takes in that it may warm up for so many milliseconds from now on.
+    /// Records that the upstream may be warming up for `ms` milliseconds from now on.
     pub(crate) fn mark_uncertain(&mut self, ms: Millis, now: Millis) {
         self.uncertain_until = self.uncertain_until.max(now + ms.min(MAX_DURATION_MS));
     }
 
-    /// Notes a dispatch.
+    /// Records a dispatch.
     pub(crate) fn send(&mut self, now: Millis) {
         self.sent.retain(|at| now.saturating_sub(*at) < SPAN_MS);
         self.sent.push(now);
@@ -68,7 +71,6 @@
         self.sent.iter().copied().filter(|at| now.saturating_sub(*at) < SPAN_MS).collect()
     }
 
-    /// Whether it is warm.
     pub(crate) fn state(&self, now: Millis) -> WarmupState {
         if now < self.warming_until {
             WarmupState::WarmingUp
@@ -79,7 +81,8 @@
         }
     }
 
-    /// Whether this gateway may dispatch to it now, while it warms up.
+    /// Whether this gateway may dispatch another request now if the upstream is warming up. Always true for a
+    /// service without a limit.
     pub(crate) fn admits(
         &self,
         upstream: &str,
