--- a/crates/route/examples/told.rs
+++ b/crates/route/examples/told.rs
@@ -1,6 +1,9 @@
-//! What routers lose by hearing less of each other: `cargo run --release -p route --example told -- ROUTERS PER_S...`
+//! Measures the cost of telling routers of fewer dispatches.
 //!
-//! Plays 845 prompts a second on 160 engines, three seeds for each number of dispatches that a router hears of in a second.
+//! Usage: `cargo run --release -p route --example told -- ROUTERS PER_S...`
+//!
+//! Simulates 845 prompts per second on 160 engines, with three seeds for each rate at which a router is told
+//! of dispatches.
 
 use emulator::{Outcome, Scene, plains, play};
 use route::Teller;
@@ -8,7 +11,7 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 fn main() {
-    let numbers: Vec<f64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
+    let numbers: Vec<f64> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
     let [routers, rates @ ..] = numbers.as_slice() else {
         return eprintln!("usage: told ROUTERS PER_S...");
     };
@@ -16,8 +19,9 @@
         let teller = Teller::with_rates(*rate, *rate);
         let scene = |seed| Scene { teller, ..plains(seed, *routers as usize) };
         let outcomes: Vec<Outcome> = SEEDS.map(|seed| play(&scene(seed))).collect();
-        let mean =
-            |of: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
+        let mean = |figure: &dyn Fn(&Outcome) -> f64| {
+            outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
+        };
         let late =
             ["narrative", "summary", "check"].map(|kind| 1.0 - mean(&|outcome| outcome.of(kind).in_time()));
         println!(
--- a/crates/route/examples/warming.rs
+++ b/crates/route/examples/warming.rs
@@ -1,6 +1,9 @@
-//! How gateways keep to what upstreams bear while they warm up: `cargo run --release -p route --example warming`.
+//! Compares methods of limiting requests to upstreams that warm up.
 //!
-//! Plays the return of a third of all upstreams, twenty seeds for each way and size of fleet.
+//! Usage: `cargo run --release -p route --example warming`
+//!
+//! Simulates that a third of all upstreams return together, with twenty seeds for each method and size of the
+//! fleet.
 
 use emulator::{Bound, Received, Return, play_return};
 
@@ -14,11 +17,12 @@
         for bound in BOUNDS {
             for cut in [0, gateways / 3] {
                 let scene = Return { gateways, upstreams: 30, per_s: 420.0, bound, cut };
-                let all: Vec<Received> = (0..SEEDS).map(|seed| play_return(seed, &scene)).collect();
-                let mean = |of: fn(&Received) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+                let runs: Vec<Received> = (0..SEEDS).map(|seed| play_return(seed, &scene)).collect();
+                let mean =
+                    |figure: fn(&Received) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
                 println!(
                     "{gateways} {bound:?} {cut} {} {:.2} {:.1}",
-                    all.iter().map(|received| received.worst_second).max().unwrap_or(0),
+                    runs.iter().map(|received| received.worst_second).max().unwrap_or(0),
                     mean(|received| received.used),
                     mean(|received| received.datagrams_per_s) / gateways as f64,
                 );
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -1,8 +1,9 @@
 //! Request limits that upstreams name in their answers.
 //!
-//! While an upstream is overloaded, each of its answers names the requests per second that it accepts from all
-//! gateways together. [`crate::roster`] determines the part of each gateway. If there are more gateways than
-//! requests to divide, some gateways have no part and depend on the others to learn that the limit changed or ended.
+//! While an upstream is overloaded, each of its answers names the requests per second that it accepts from
+//! all gateways together. [`crate::roster`] determines the part of each gateway. If there are more gateways
+//! than requests to divide, some gateways have no part and depend on the others to learn that the limit
+//! changed or ended.
 
 use crate::Millis;
 use crate::roster::Roster;
@@ -10,11 +11,11 @@
 
 /// The shortest period of a quota, in milliseconds.
 const SHORTEST_PERIOD_MS: Millis = 2_000;
-/// The most requests per period if the period is longer than the shortest one. With fewer, rounding leaves more of
-/// a low rate unused.
+/// The most requests per period if the period is longer than the shortest one. With fewer, rounding leaves
+/// more of a low rate unused.
 const PERIOD_REQUESTS: f64 = 4.0;
-/// The longest period of a quota, in milliseconds. An upstream that accepts nothing still gets one request per
-/// period, whose answer says whether the limit still holds.
+/// The longest period of a quota, in milliseconds. An upstream that accepts nothing still gets one request
+/// per period, whose answer says whether the limit still holds.
 const LONGEST_PERIOD_MS: Millis = 10_000;
 /// The largest expected difference between the arrival delays of two requests, in milliseconds.
 const JITTER_MS: Millis = 250;
@@ -22,8 +23,8 @@
 const CHANGE_FACTOR: f64 = 1.25;
 /// The interval at which the other gateways are told again of an unchanged limit, in milliseconds.
 const RENEWAL_MS: Millis = 20_000;
-/// The time without news of a limit, in milliseconds, after which gateways without a part check in turn whether it
-/// still holds.
+/// The time without news of a limit, in milliseconds, after which gateways without a part check in turn
+/// whether it still holds.
 const CHECK_AFTER_MS: Millis = 60_000;
 
 /// How an answer changed the known request limit of its upstream.
@@ -71,8 +72,8 @@
 }
 
 impl Limit {
-    /// Creates a limit that the other gateways know or are about to be told. `sent` holds the times of this gateway's
-    /// dispatches shortly before.
+    /// Creates a limit that the other gateways know or are about to be told. `sent` holds the times of this
+    /// gateway's dispatches shortly before.
     pub(crate) fn new(per_s: f64, sent: &[Millis], now: Millis) -> Limit {
         Limit { per_s, told: (per_s, now), confirmed: now, sent: SmallVec::from_slice(sent) }
     }
@@ -82,8 +83,8 @@
         self.per_s
     }
 
-    /// Whether the limit was last confirmed no later than at `dispatched`, so that the answer to a request dispatched
-    /// then is newer.
+    /// Whether the limit was last confirmed no later than at `dispatched`, so that the answer to a request
+    /// dispatched then is newer.
     pub(crate) fn is_older_than(&self, dispatched: Millis) -> bool {
         self.confirmed <= dispatched
     }
@@ -133,8 +134,9 @@
         }
     }
 
-    /// The time until this gateway may send a request that checks whether the limit still holds, in milliseconds;
-    /// `None` if it has no rank. The gateways check in the order of their ranks, at the rate that the upstream accepts.
+    /// The time until this gateway may send a request that checks whether the limit still holds, in
+    /// milliseconds; `None` if it has no rank. The gateways check in the order of their ranks, at the rate
+    /// that the upstream accepts.
     fn check_wait_ms(&self, upstream: &str, roster: &Roster, now: Millis) -> Option<Millis> {
         let interval_ms = (1_000.0 / self.per_s).min(LONGEST_PERIOD_MS as f64);
         let (rank, since) = roster.rank(upstream, now)?;
--- a/crates/route/src/overload.rs
+++ b/crates/route/src/overload.rs
@@ -8,9 +8,12 @@
 //! ```
 //! use route::{LoadSample, OverloadMonitor};
 //!
-//! let mut monitor = OverloadMonitor::new(None); for at in (0..2_000).step_by(100) {
-//! monitor.record(LoadSample { at, timer_delay_ms: 80.0, link_bytes: 0 }); } assert!(monitor.is_unready(),
-//! "its timers were late all the time"); ```
+//! let mut monitor = OverloadMonitor::new(None);
+//! for at in (0..2_000).step_by(100) {
+//!     monitor.record(LoadSample { at, timer_delay_ms: 80.0, link_bytes: 0 });
+//! }
+//! assert!(monitor.is_unready(), "its timers were late all the time");
+//! ```
 
 use crate::Millis;
 
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -12,11 +12,16 @@
 //! ```
 //! use route::quarantine::{DECISION_DELAY_MS, Fingerprint, Quarantine, Stage, Verdict};
 //!
-//! let (request, bystander) = (Fingerprint::new([1; 16]), Fingerprint::new([2; 16])); let mut quarantine =
-//! Quarantine::default(); quarantine.record_crash(bystander, "engine-1", Stage::Silent, 0); for upstream in
-//! ["engine-1", "engine-2", "engine-3"] { quarantine.record_crash(request, upstream, Stage::Silent, 0); }
-//! assert_eq!(quarantine.decide(DECISION_DELAY_MS), [request]); assert_eq!(quarantine.verdict(request, 200),
-//! Verdict::Denied); assert_eq!(quarantine.verdict(bystander, 200), Verdict::Clear); ```
+//! let (request, bystander) = (Fingerprint::new([1; 16]), Fingerprint::new([2; 16]));
+//! let mut quarantine = Quarantine::default();
+//! quarantine.record_crash(bystander, "engine-1", Stage::Silent, 0);
+//! for upstream in ["engine-1", "engine-2", "engine-3"] {
+//!     quarantine.record_crash(request, upstream, Stage::Silent, 0);
+//! }
+//! assert_eq!(quarantine.decide(DECISION_DELAY_MS), [request]);
+//! assert_eq!(quarantine.verdict(request, 200), Verdict::Denied);
+//! assert_eq!(quarantine.verdict(bystander, 200), Verdict::Clear);
+//! ```
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
--- a/crates/route/src/roster.rs
+++ b/crates/route/src/roster.rs
@@ -62,8 +62,8 @@
     heartbeat_valid_until: Millis,
     /// When the current list was requested.
     list_requested_at: Millis,
-    /// A list requested at this time or later names all gateways that started together with this one; `None` while this
-    /// one is not listed.
+    /// A list requested at this time or later names all gateways that started together with this one; `None`
+    /// while this one is not listed.
     joining_listed_from: Option<Millis>,
     /// When the list and the heartbeat last became valid after one of them had expired.
     current_since: Millis,
@@ -141,15 +141,15 @@
         self.joining_listed_from = None;
     }
 
-    /// This gateway's part of `requests`. It is 0 while this gateway is joining, or its list or heartbeat has expired,
-    /// since the other gateways may then divide all requests among themselves.
+    /// This gateway's part of `requests`. It is 0 while this gateway is joining, or its list or heartbeat has
+    /// expired, since the other gateways may then divide all requests among themselves.
     pub(crate) fn part(&self, upstream: &str, requests: usize, now: Millis) -> usize {
         self.ring.as_ref().filter(|_| self.participates(now)).map_or(0, |ring| ring.part(upstream, requests))
     }
 
-    /// Like [`Roster::part`], but a gateway that is joining, or whose list or heartbeat has expired, takes a part of half
-    /// the requests, so that it can still use the upstream. Together with the gateways that divide all requests, such
-    /// gateways send up to one and a half times `requests`.
+    /// Like [`Roster::part`], but a gateway that is joining, or whose list or heartbeat has expired, takes a
+    /// part of half the requests, so that it can still use the upstream. Together with the gateways that
+    /// divide all requests, such gateways send up to one and a half times `requests`.
     pub(crate) fn part_or_half(&self, upstream: &str, requests: usize, now: Millis) -> usize {
         let Some(ring) = &self.ring else { return 0 };
         if self.participates(now) {
@@ -171,8 +171,8 @@
         self.listed_everywhere_from.is_some_and(|from| from <= now && self.is_current(from))
     }
 
-    /// The number of gateways between an upstream's point on the ring and this gateway, and when this gateway began to
-    /// take part; `None` if it takes no part.
+    /// The number of gateways between an upstream's point on the ring and this gateway, and when this gateway
+    /// began to take part; `None` if it takes no part.
     pub(crate) fn rank(&self, upstream: &str, now: Millis) -> Option<(usize, Millis)> {
         let ring = self.ring.as_ref().filter(|_| self.participates(now))?;
         Some((ring.rank(upstream), self.current_since.max(self.listed_everywhere_from?)))
--- a/crates/route/src/signals.rs
+++ b/crates/route/src/signals.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Records that the answer to a request names no limit. Answers can arrive out of order, so the limit ends only if
-    /// the request was dispatched after the limit was last confirmed.
+    /// Records that the answer to a request names no limit. Answers can arrive out of order, so the limit
+    /// ends only if the request was dispatched after the limit was last confirmed.
     fn lift(&mut self, upstream: &str, dispatched: Millis) -> LimitUpdate {
         let Some(signal) = self.0.get_mut(upstream) else { return LimitUpdate::Unchanged };
         match signal.limit.take_if(|limit| limit.is_older_than(dispatched)) {
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Records what another gateway reports about an upstream's limit. Returns whether the limit begins or ends.
+    /// Records what another gateway reports about an upstream's limit. Returns whether the limit begins or
+    /// ends.
     pub(crate) fn hear_limit(
         &mut self,
         upstream: &str,
@@ -112,8 +113,8 @@
         Some(self.0.get(upstream)?.limit.as_ref()?.per_s())
     }
 
-    /// The time until this gateway may dispatch the next request within an upstream's limit, in milliseconds; 0 if it may
-    /// now.
+    /// The time until this gateway may dispatch the next request within an upstream's limit, in milliseconds;
+    /// 0 if it may now.
     pub(crate) fn limit_wait_ms(&self, upstream: &str, roster: &Roster, now: Millis) -> Millis {
         let limit = self.0.get(upstream).and_then(|signal| signal.limit.as_ref());
         limit.map_or(0, |limit| limit.wait_ms(upstream, roster, now))
--- a/crates/route/tests/limits.rs
+++ b/crates/route/tests/limits.rs
@@ -9,7 +9,8 @@
 use route::roster::Roster;
 use route::{LimitUpdate, Millis};
 
-/// The window in which requests are counted, in milliseconds, and what an upstream may get in it beyond its limit.
+/// The window in which requests are counted, in milliseconds, and what an upstream may get in it beyond its
+/// limit.
 const WINDOW_MS: Millis = 4_000;
 const OVERSHOOT: f64 = 1.5;
 const EXTRA: f64 = 5.0;
@@ -112,10 +113,10 @@
 }
 
 #[test]
-fn other_gateways_are_told_of_changes_and_now_and_then_of_a_limit_that_holds() {
+fn other_gateways_are_told_of_changes_and_periodically_of_an_unchanged_limit() {
     let mut places = unlimited_places();
     let name = upstream(0);
-    let said = [
+    let named = [
         (2.0, 0),
         (2.2, 100),
         (2.6, 200),
@@ -126,12 +127,12 @@
         (1.9, 20_500),
     ];
     let updates: Vec<LimitUpdate> =
-        said.iter().map(|(per_s, now)| places.update_limit(&name, Some(*per_s), *now, *now)).collect();
+        named.iter().map(|(per_s, now)| places.update_limit(&name, Some(*per_s), *now, *now)).collect();
     insta::assert_debug_snapshot!(updates);
 }
 
 #[test]
-fn a_limit_outlasts_the_entry_in_the_list_but_not_the_upstreams_life() {
+fn a_limit_outlasts_the_entry_in_the_list_but_not_a_restart_of_the_upstream() {
     let mut places = unlimited_places();
     let name = upstream(0);
     places.update_limit(&name, Some(0.0), 0, 0);
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn a_gateway_without_a_part_hears_of_a_limit_and_of_its_end() {
+fn a_gateway_without_a_part_is_told_of_a_limit_and_of_its_end() {
     let mut places = unlimited_places();
     let name = upstream(0);
     assert!(places.hear_limit(&name, Some(1.5), 0));
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that end their upstreams are denied after a few, and those beside them are not.
+//! Guards against requests that crash one upstream after another, and against denials of requests that only
+//! ran beside them.
 
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -20,82 +21,85 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// Upstreams that end, each with the requests that ran there.
-type Ended = Vec<(String, Vec<u64>)>;
+/// Crashed upstreams, each with the requests that ran there.
+type CrashedUpstreams = Vec<(String, Vec<u64>)>;
 
-/// Takes the ends in, and decides once all have come.
-fn told(ends: &Ended, quarantine: &mut Quarantine, now: u64) -> Vec<Fingerprint> {
-    for (upstream, there) in ends {
-        there.iter().for_each(|number| {
+/// Records the crashes, and decides once all reports have arrived.
+fn record_and_decide(crashes: &CrashedUpstreams, quarantine: &mut Quarantine, now: u64) -> Vec<Fingerprint> {
+    for (upstream, running) in crashes {
+        running.iter().for_each(|number| {
             quarantine.record_crash(request(*number), upstream, Stage::Silent, now);
         });
     }
     quarantine.decide(now + DECISION_DELAY_MS)
 }
 
-fn ends(ran: &[&[u64]]) -> Ended {
-    ran.iter().enumerate().map(|(index, there)| (format!("e-{index}"), there.to_vec())).collect()
+fn crashes(ran: &[&[u64]]) -> CrashedUpstreams {
+    ran.iter().enumerate().map(|(index, running)| (format!("e-{index}"), running.to_vec())).collect()
 }
 
 #[test]
-fn one_that_is_there_each_time_is_denied_and_what_is_beside_it_is_not() {
+fn a_request_present_at_each_crash_is_denied_and_those_beside_it_are_not() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(told(&ends(&[&[1, 2, 3], &[1, 3, 4], &[1, 4, 5]]), &mut quarantine, 0), [request(1)]);
-    for beside in 2..6 {
+    assert_eq!(
+        record_and_decide(&crashes(&[&[1, 2, 3], &[1, 3, 4], &[1, 4, 5]]), &mut quarantine, 0),
+        [request(1)]
+    );
+    for bystander in 2..6 {
         assert_eq!(
-            quarantine.verdict(request(beside), DECISION_DELAY_MS),
+            quarantine.verdict(request(bystander), DECISION_DELAY_MS),
             Verdict::Clear,
-            "its ends are explained"
+            "its crashes are explained"
         );
     }
     assert!(
         !quarantine.record_crash(request(3), "e-2", Stage::Silent, DECISION_DELAY_MS),
-        "also one that is told late"
+        "also a crash that is reported late"
     );
 }
 
 #[test]
-fn fewer_ends_are_not_enough_and_one_upstream_counts_once() {
+fn fewer_crashes_are_not_enough_and_one_upstream_counts_once() {
     let mut quarantine = Quarantine::default();
-    let twice = ends(&[&[1], &[1]]);
-    assert!(told(&twice, &mut quarantine, 0).is_empty());
-    assert!(told(&twice, &mut quarantine, 10).is_empty(), "told again");
+    let twice = crashes(&[&[1], &[1]]);
+    assert!(record_and_decide(&twice, &mut quarantine, 0).is_empty());
+    assert!(record_and_decide(&twice, &mut quarantine, 10).is_empty(), "reported again");
     assert_eq!(quarantine.verdict(request(1), 200), Verdict::Suspect(2));
 }
 
 #[test]
-fn of_two_that_were_always_together_neither_is_denied_until_they_part() {
+fn of_two_requests_always_present_together_neither_is_denied_until_one_is_present_alone() {
     let mut quarantine = Quarantine::default();
-    assert!(told(&ends(&[&[1, 2], &[1, 2], &[1, 2]]), &mut quarantine, 0).is_empty());
+    assert!(record_and_decide(&crashes(&[&[1, 2], &[1, 2], &[1, 2]]), &mut quarantine, 0).is_empty());
     assert_eq!(
         quarantine.verdict(request(2), 200),
         Verdict::Suspect(DENIAL_THRESHOLD),
         "it may run meanwhile"
     );
-    let parted = vec![("e-9".to_owned(), vec![1])];
-    assert_eq!(told(&parted, &mut quarantine, 1_000), [request(1)]);
+    let alone = vec![("e-9".to_owned(), vec![1])];
+    assert_eq!(record_and_decide(&alone, &mut quarantine, 1_000), [request(1)]);
     assert_eq!(quarantine.verdict(request(2), 1_200), Verdict::Clear);
 }
 
 #[test]
-fn two_that_always_come_together_are_denied_in_the_end() {
+fn two_requests_always_present_together_are_both_denied_after_five_crashes() {
     let mut quarantine = Quarantine::default();
     let ran: [&[u64]; 5] = [&[1, 2]; 5];
-    assert_eq!(told(&ends(&ran), &mut quarantine, 0), [request(1), request(2)]);
+    assert_eq!(record_and_decide(&crashes(&ran), &mut quarantine, 0), [request(1), request(2)]);
 }
 
 #[test]
-fn a_run_that_an_upstream_outlives_clears_its_request() {
+fn a_run_that_an_upstream_survives_clears_its_request() {
     let mut quarantine = Quarantine::default();
-    told(&ends(&[&[1], &[1]]), &mut quarantine, 0);
+    record_and_decide(&crashes(&[&[1], &[1]]), &mut quarantine, 0);
     assert_eq!(quarantine.clear(request(1)), 2);
     assert_eq!(quarantine.clear(request(1)), 0);
-    assert!(told(&vec![("e-9".to_owned(), vec![1])], &mut quarantine, 10).is_empty());
+    assert!(record_and_decide(&vec![("e-9".to_owned(), vec![1])], &mut quarantine, 10).is_empty());
     assert_eq!(quarantine.verdict(request(1), 20), Verdict::Suspect(1));
 }
 
 #[test]
-fn while_it_is_decided_on_a_request_waits_and_a_denial_ages_out() {
+fn a_request_waits_until_it_is_decided_on_and_a_denial_expires() {
     let mut quarantine = Quarantine::default();
     for upstream in ["e-0", "e-1", "e-2"] {
         quarantine.record_crash(request(1), upstream, Stage::Silent, 0);
@@ -103,7 +107,7 @@
     assert_eq!(quarantine.verdict(request(1), 1), Verdict::Undecided);
     assert!(quarantine.decide(DECISION_DELAY_MS - 1).is_empty());
     assert_eq!(quarantine.decide(DECISION_DELAY_MS), [request(1)]);
-    assert_eq!(quarantine.renew(request(1), 1_000), None, "it was told a moment ago");
+    assert_eq!(quarantine.renew(request(1), 1_000), None, "it was denied a moment ago");
     let late = DENIAL_DURATION_MS * 3 / 4;
     assert_eq!(quarantine.renew(request(1), late).map(|upstreams| upstreams.len()), Some(3));
     assert_eq!(quarantine.verdict(request(1), late + DENIAL_DURATION_MS - 1), Verdict::Denied);
@@ -111,21 +115,21 @@
 }
 
 #[test]
-fn what_another_router_denies_is_denied_no_longer_than_it_says() {
+fn a_denial_by_another_router_lasts_no_longer_than_it_states() {
     let mut quarantine = Quarantine::default();
     let upstreams = names(["e-0", "e-1", "e-2"]);
     quarantine.record_crash(request(2), "e-1", Stage::Silent, 0);
     assert!(quarantine.deny(request(1), &upstreams, 5_000, 0));
     assert!(!quarantine.deny(request(1), &upstreams, 1_000, 0), "known");
-    assert_eq!(quarantine.verdict(request(2), 1), Verdict::Clear, "its end is explained");
+    assert_eq!(quarantine.verdict(request(2), 1), Verdict::Clear, "its crash is explained");
     assert_eq!(quarantine.verdict(request(1), 4_999), Verdict::Denied);
     assert_eq!(quarantine.verdict(request(1), 5_000), Verdict::Clear);
-    assert!(quarantine.deny(request(1), &upstreams, u64::MAX, 6_000), "nonsense is bounded");
+    assert!(quarantine.deny(request(1), &upstreams, u64::MAX, 6_000), "an implausible duration is bounded");
     assert_eq!(quarantine.verdict(request(1), 6_000 + DENIAL_DURATION_MS), Verdict::Clear);
 }
 
 #[test]
-fn a_flood_of_suspects_and_denials_stays_bounded() {
+fn the_numbers_of_suspects_and_denials_are_bounded() {
     let mut quarantine = Quarantine::default();
     (0..20_000).for_each(|number| {
         quarantine.record_crash(request(number), &format!("e-{number}"), Stage::Silent, number);
@@ -139,13 +143,15 @@
     assert_eq!(quarantine.denied_count(), 1_024);
 }
 
-/// No order, repetition or loss of messages denies a request that was not at each end of one.
+/// No order, repetition or loss of messages leads to the denial of a request that was not present at each
+/// crash.
 #[test]
-fn no_order_of_messages_denies_one_that_was_beside() {
+fn no_order_of_messages_denies_a_bystander() {
     let mut random = SmallRng::seed_from_u64(11);
     let mut missed = 0;
     for round in 0..20_000 {
-        // Request 0 ends each upstream; the others are at each of them with a chance of a half, but not at all.
+        // Request 0 crashes each upstream. Each other request is present at each crash with a probability of
+        // one half, but at no more than two.
         let count = random.gen_range(3..6);
         let mut messages: Vec<(u64, usize)> = vec![];
         for other in 1..6u64 {
@@ -158,8 +164,8 @@
         if random.gen_bool(0.3) {
             messages.remove(lost);
         }
-        let again: Vec<_> = messages.choose_multiple(&mut random, 4).copied().collect();
-        messages.extend(again);
+        let repeated: Vec<_> = messages.choose_multiple(&mut random, 4).copied().collect();
+        messages.extend(repeated);
         messages.shuffle(&mut random);
         let mut quarantine = Quarantine::default();
         let mut denied = vec![];
@@ -173,44 +179,44 @@
         assert!(denied.iter().all(|denied| *denied == request(0)), "round {round}: {denied:?}");
         missed += u32::from(denied.is_empty() && count > 3);
     }
-    assert!(missed < 200, "{missed} of 20,000 rounds denied nothing though four or more had ended");
+    assert!(missed < 200, "{missed} of 20,000 rounds denied nothing after four or more crashes");
 }
 
 #[test]
-fn a_fingerprint_prefers_the_same_routers_whoever_asks() {
+fn the_coordinators_of_a_fingerprint_are_the_same_for_all_routers() {
     let names: Vec<String> = (0..40).map(|index| format!("vm-{index}")).collect();
     let chosen = |request, order: &[usize]| {
         notice::coordinators(request, order.iter().map(|index| (*index, names[*index].as_str())))
     };
-    let forth: Vec<usize> = (0..40).collect();
-    let back: Vec<usize> = (0..40).rev().collect();
-    assert_eq!(chosen(request(1), &forth).len(), notice::COORDINATOR_COUNT);
-    assert_eq!(chosen(request(1), &forth), chosen(request(1), &back));
-    assert_ne!(chosen(request(1), &forth), chosen(request(2), &forth));
+    let ascending: Vec<usize> = (0..40).collect();
+    let descending: Vec<usize> = (0..40).rev().collect();
+    assert_eq!(chosen(request(1), &ascending).len(), notice::COORDINATOR_COUNT);
+    assert_eq!(chosen(request(1), &ascending), chosen(request(1), &descending));
+    assert_ne!(chosen(request(1), &ascending), chosen(request(2), &ascending));
 }
 
 #[test]
-fn what_all_hear_of_suspects_does_not_grow_with_the_fleet() {
+fn the_rate_of_suspects_sent_to_all_routers_does_not_grow_with_the_fleet() {
     let ends = Crashes::from_iter([Crash { upstream: "e-0".to_owned(), stage: Stage::Silent }]);
     let suspect = Notice::Suspect { fingerprint: request(1), ends };
     for routers in [6, 75, 295, 1_400] {
-        let mut bound = NoticeLimiter::default();
-        let all = (0..60_000).filter(|now| bound.recipients(&suspect, routers, *now) == Recipients::All);
-        // Beyond what each may tell at once.
-        let heard_per_s = (all.count() as f64 - 8.0) * routers as f64 / 60.0;
-        assert!(heard_per_s <= 21.0, "{heard_per_s} a second with {routers} routers");
+        let mut limiter = NoticeLimiter::default();
+        let all = (0..60_000).filter(|now| limiter.recipients(&suspect, routers, *now) == Recipients::All);
+        // Without the burst that each router may send at once.
+        let received_per_s = (all.count() as f64 - 8.0) * routers as f64 / 60.0;
+        assert!(received_per_s <= 21.0, "{received_per_s} per second with {routers} routers");
     }
 }
 
-/// A run of an innocent request, in the play below.
+/// A run of a harmless request in the simulation below.
 #[derive(Clone, Copy)]
 struct Run {
     number: u64,
     engine: usize,
-    /// When it answers first, and when it ends.
+    /// When its first answer arrives, and when it ends.
     answers: u64,
     ends: u64,
-    /// Dispatches that are left.
+    /// The dispatches that are left, including this one.
     tries: u32,
 }
 
@@ -221,70 +227,71 @@
     }
 }
 
-/// What a play led to.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
-    innocent: u64,
+    harmless: u64,
     denied: u64,
     held_back: u64,
-    /// Deadly requests by the number of engines that ended under them.
+    /// The numbers of harmful requests, by the number of engines that they crashed.
     ended: BTreeMap<u32, u32>,
 }
 
-/// Innocent requests, 200 a second, through 18 engines, of which a sixth ends together every five seconds; each minute, so many deadly
-/// ones come for ten seconds, each about once a second, and end their engines, which are back after three seconds.
-fn play(innocent: u64, deadly_at_once: u64, seed: u64) -> Outcome {
+/// Simulates 200 harmless requests per second on 18 engines, of which a sixth crash together every five
+/// seconds. In the first ten seconds of each minute, `harmful_at_once` harmful requests arrive, each about
+/// once per second. They crash their engines, which return after three seconds.
+fn simulate(harmless: u64, harmful_at_once: u64, seed: u64) -> Outcome {
     const ENGINES: usize = 18;
     const STEP_MS: u64 = 10;
-    const DEADLY: u64 = 1 << 40;
+    const HARMFUL: u64 = 1 << 40;
     let mut random = SmallRng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
     let mut runs: Vec<Run> = vec![];
-    let mut lives = [0u64; ENGINES];
-    let mut back = [0u64; ENGINES];
+    let mut restarts = [0u64; ENGINES];
+    let mut up_from = [0u64; ENGINES];
     let mut ended: BTreeMap<u64, u32> = BTreeMap::new();
     let mut outcome = Outcome::default();
     let mut now = 0;
-    while outcome.innocent < innocent {
+    while outcome.harmless < harmless {
         now += STEP_MS;
-        let up: Vec<usize> = (0..ENGINES).filter(|engine| back[*engine] <= now).collect();
+        let up: Vec<usize> = (0..ENGINES).filter(|engine| up_from[*engine] <= now).collect();
         let mut down: Vec<usize> = vec![];
         for _ in 0..2 {
-            outcome.innocent += 1;
+            outcome.harmless += 1;
             let Some(engine) = up.choose(&mut random) else { continue };
-            match quarantine.verdict(request(outcome.innocent), now) {
+            match quarantine.verdict(request(outcome.harmless), now) {
                 Verdict::Undecided => outcome.held_back += 1,
-                _ => runs.push(Run::start(outcome.innocent, *engine, 3, now, &mut random)),
+                _ => runs.push(Run::start(outcome.harmless, *engine, 3, now, &mut random)),
             }
         }
         if now.is_multiple_of(5_000) {
             down.extend(up.choose_multiple(&mut random, ENGINES / 6));
         }
-        for deadly in 0..deadly_at_once {
-            let number = DEADLY + now / 60_000 * deadly_at_once + deadly;
-            let comes = now % 60_000 < 10_000 && random.gen_bool(STEP_MS as f64 / 1_000.0);
+        for harmful in 0..harmful_at_once {
+            let number = HARMFUL + now / 60_000 * harmful_at_once + harmful;
+            let arrives = now % 60_000 < 10_000 && random.gen_bool(STEP_MS as f64 / 1_000.0);
             let verdict = quarantine.verdict(request(number), now);
             let may_run = !matches!(verdict, Verdict::Denied | Verdict::Undecided);
             let engine = up.choose(&mut random).filter(|engine| !down.contains(engine));
-            if let Some(engine) = engine.filter(|_| comes && may_run) {
+            if let Some(engine) = engine.filter(|_| arrives && may_run) {
                 down.push(*engine);
                 *ended.entry(number).or_default() += 1;
                 quarantine.record_crash(
                     request(number),
-                    &format!("e-{engine}.{}", lives[*engine]),
+                    &format!("e-{engine}.{}", restarts[*engine]),
                     Stage::Silent,
                     now,
                 );
             }
         }
-        let left: Vec<usize> = up.iter().filter(|engine| !down.contains(engine)).copied().collect();
+        let remaining: Vec<usize> = up.iter().filter(|engine| !down.contains(engine)).copied().collect();
         for run in runs.iter_mut().filter(|run| down.contains(&run.engine) && run.ends > now) {
             let begun_ms = now.checked_sub(run.answers);
             if let Some(stage) = Stage::of(begun_ms) {
-                let upstream = format!("e-{}.{}", run.engine, lives[run.engine]);
+                let upstream = format!("e-{}.{}", run.engine, restarts[run.engine]);
                 quarantine.record_crash(request(run.number), &upstream, stage, now);
             }
-            *run = match left.choose(&mut random) {
+            *run = match remaining.choose(&mut random) {
                 Some(engine) if run.tries > 1 => {
                     Run::start(run.number, *engine, run.tries - 1, now, &mut random)
                 }
@@ -292,17 +299,17 @@
             };
         }
         for engine in down {
-            lives[engine] += 1;
-            back[engine] = now + 3_000;
+            restarts[engine] += 1;
+            up_from[engine] = now + 3_000;
         }
         outcome.denied +=
-            quarantine.decide(now).iter().filter(|denied| **denied < request(DEADLY)).count() as u64;
+            quarantine.decide(now).iter().filter(|denied| **denied < request(HARMFUL)).count() as u64;
         runs.retain(|run| {
-            let goes_on = run.ends > now;
-            if !goes_on && run.ends > 0 && !quarantine.is_empty() {
+            let is_running = run.ends > now;
+            if !is_running && run.ends > 0 && !quarantine.is_empty() {
                 quarantine.clear(request(run.number));
             }
-            goes_on
+            is_running
         });
     }
     for count in ended.into_values() {
@@ -312,9 +319,9 @@
 }
 
 #[test]
-fn none_of_a_million_innocent_requests_is_denied_under_mass_crashes() {
-    for (deadly_at_once, seed) in [(0, 3), (2, 5)] {
-        let outcome = play(500_000, deadly_at_once, seed);
+fn none_of_a_million_harmless_requests_is_denied_during_mass_crashes() {
+    for (harmful_at_once, seed) in [(0, 3), (2, 5)] {
+        let outcome = simulate(500_000, harmful_at_once, seed);
         println!("{outcome:?}");
         assert_eq!(outcome.denied, 0);
         assert!(outcome.ended.keys().all(|ended| *ended <= DENIAL_THRESHOLD as u32), "{outcome:?}");
@@ -322,9 +329,9 @@
 }
 
 #[test]
-#[ignore = "by hand: figures of the design page"]
+#[ignore = "run manually for the figures of the design page"]
 fn figures() {
-    for deadly_at_once in [0, 1, 2, 4, 6] {
-        println!("{deadly_at_once} at once: {:?}", play(1_000_000, deadly_at_once, 7));
+    for harmful_at_once in [0, 1, 2, 4, 6] {
+        println!("{harmful_at_once} at once: {:?}", simulate(1_000_000, harmful_at_once, 7));
     }
 }
--- a/crates/route/tests/warmup.rs
+++ b/crates/route/tests/warmup.rs
@@ -1,7 +1,8 @@
-//! The bound on what upstreams get while they warm up: summed over all gateways, whatever each of them knows of the others.
+//! The limit on requests to upstreams that warm up, over all gateways together, whatever each of them knows
+//! of the others.
 //!
-//! What users saw: a third of all upstreams came back together, and one of them got 21 requests in a second where 19.9 were allowed. Each
-//! of 87 gateways had chosen it as the one with the least to do.
+//! Guards against an overload after many upstreams restart together: each of 87 gateways chose the same
+//! upstream as the one with the least work, and it received 21 requests in a second, where 19.9 were allowed.
 
 mod fleet;
 
@@ -22,25 +23,27 @@
     places
 }
 
-/// Sends as much as it may to the upstreams, all of which warm up all the time; how many requests each got.
+/// Sends as many requests as possible to the upstreams, all of which keep warming up. Returns how many each
+/// received.
 fn send(places: &mut Places, now: Millis) -> [u32; UPSTREAMS] {
     (0..UPSTREAMS).for_each(|index| places.warm_up(&upstream(index), 60_000, now));
     fleet::send(places, now)
 }
 
 #[test]
-fn no_upstream_that_warms_up_gets_more_than_it_bears_whatever_gateways_know() {
+fn no_upstream_that_warms_up_gets_more_than_its_limit_whatever_gateways_know() {
     for seed in 0..40 {
         let fleet = [2, 3, 6, 12, 30][seed as usize % 5];
-        let seen = fleet::play(seed, fleet, || places(PER_S), send);
-        let most = seen.iter().map(|seen| worst(seen, 1_000)).max().unwrap_or(0);
+        let received = fleet::play(seed, fleet, || places(PER_S), send);
+        let most = received.iter().map(|received| worst(received, 1_000)).max().unwrap_or(0);
         assert!(most <= PER_S as u32, "seed {seed}: {fleet} gateways sent {most} in a second");
         assert!(most > 0, "seed {seed}: {fleet} gateways sent nothing");
     }
 }
 
-/// A fleet of so many gateways that know each other; all that upstreams get in the seconds after they began to warm up.
-fn calm(fleet: usize, per_s: f64) -> Vec<u32> {
+/// All requests that the upstreams receive per second after their warm-up began, from `fleet` gateways that
+/// know each other.
+fn received_per_second(fleet: usize, per_s: f64) -> Vec<u32> {
     let names: Vec<String> = (0..fleet).map(|index| format!("vm-{index}")).collect();
     let mut gateways: Vec<Places> = names.iter().map(|_| places(per_s)).collect();
     for (name, places) in names.iter().zip(&mut gateways) {
@@ -59,35 +62,38 @@
 }
 
 #[test]
-fn fleets_of_every_size_use_what_upstreams_bear_while_they_warm_up() {
+fn fleets_of_every_size_use_most_of_the_limit_of_upstreams_that_warm_up() {
     let mut lines = vec![];
     for fleet in [1, 3, 6, 22, 87, 295] {
         for per_s in [1.0, 9.9, 40.0] {
             let all = (UPSTREAMS as f64 * per_s * 5.0) as u32;
-            lines.push(format!("{fleet} gateways, {per_s} a second: {:?} of {all}", calm(fleet, per_s)));
+            lines.push(format!(
+                "{fleet} gateways, {per_s} per second: {:?} of {all}",
+                received_per_second(fleet, per_s)
+            ));
         }
     }
     insta::assert_debug_snapshot!(lines);
 }
 
 #[test]
-fn a_warm_up_ends_and_one_that_is_said_to_last_a_day_is_not_believed() {
+fn a_warm_up_ends_after_the_maximum_even_if_a_day_is_reported() {
     let mut places = places(PER_S);
     let need = Need { service: "narrator", prompt: None, avoid: &[] };
     for index in 0..UPSTREAMS {
         places.warm_up(&upstream(index), 86_400_000, 1_000);
     }
-    assert_eq!(places.choose(&need, 1_001), None, "this gateway knows of no others, and takes no part");
+    assert_eq!(places.choose(&need, 1_001), None, "this gateway has read no list and has no part");
     assert!(places.choose(&need, 61_000).is_some());
 }
 
 #[test]
-fn a_rate_of_zero_leaves_one_request_a_second() {
-    assert_eq!(calm(3, 0.0), calm(3, 1.0));
+fn a_rate_of_zero_still_allows_one_request_per_second() {
+    assert_eq!(received_per_second(3, 0.0), received_per_second(3, 1.0));
 }
 
 #[test]
-fn an_upstream_that_may_have_started_again_counts_as_warming_up() {
+fn an_upstream_that_may_have_restarted_counts_as_warming_up() {
     let mut places = places(PER_S);
     for _ in 0..3 {
         places.fail("engine-0", 100);
@@ -103,7 +109,7 @@
         assert_eq!(
             chosen(&places, 1_300).as_deref(),
             Some("engine-1"),
-            "the ejection is over, and the doubt is not"
+            "the ejection of engine-0 is over, but it may still be warming up"
         );
         let chosen = places.choose(&need(&[]), 1_300).expect("an upstream");
         places.begin(&chosen, None, 1_300);
@@ -112,39 +118,40 @@
 }
 
 #[test]
-fn where_all_upstreams_may_have_started_again_they_are_tried() {
+fn if_all_upstreams_may_have_restarted_they_are_tried() {
     let mut places = places(PER_S);
     for index in 0..UPSTREAMS {
         (0..3).for_each(|_| _ = places.fail(&upstream(index), 100));
     }
     let need = Need { service: "narrator", prompt: None, avoid: &[] };
-    assert!(places.choose(&need, 1_200).is_some(), "this gateway knows of no others, and takes no part");
+    assert!(places.choose(&need, 1_200).is_some(), "this gateway has read no list and has no part");
 }
 
 #[test]
-fn a_data_centre_that_is_evacuated_gets_nothing_and_warms_up_when_it_is_taken_back() {
+fn an_evacuated_data_centre_gets_no_requests_and_warms_up_when_it_is_restored() {
     let mut places = places(PER_S);
     let need = Need { service: "narrator", prompt: None, avoid: &[] };
     assert!(places.evacuate("here") && !places.evacuate("here"));
     assert_eq!(places.choose(&need, 0), None);
     assert!(!places.admits("engine-0", 0));
-    assert!(!places.restore("there", 0), "nobody evacuated it");
+    assert!(!places.restore("there", 0), "it was not evacuated");
     assert!(places.restore("here", 10));
     assert!(places.admits("engine-0", 10));
-    assert!(!places.has_room("engine-0", 10), "the others may not know it is back");
+    assert!(!places.has_room("engine-0", 10), "the other gateways may not know that it was restored");
     assert!(places.choose(&need, 3_010).is_some());
 }
 
-/// Returns of a third of all upstreams through gateways that know each other; the most that one got in a second.
+/// The most requests that one upstream receives in a second when a third of them restart together, over all
+/// seeds.
 fn worst_return(gateways: usize, bound: Bound, seeds: std::ops::Range<u64>) -> u32 {
     let scene = Return { gateways, upstreams: 30, per_s: 420.0, bound, cut: gateways / 6 };
     seeds.map(|seed| play_return(seed, &scene).worst_second).max().unwrap_or(0)
 }
 
-/// With each gateway's own counts alone the worst second of 20 returns has 28 requests, where 19.9 are allowed and 9.9 borne; by the
-/// ring 9.
+/// With only its own counts at each gateway, the worst second of 20 such restarts has 28 requests, where 19.9
+/// are allowed and 9.9 can be handled. With the hash ring, it has 9.
 #[test]
-fn in_a_thousand_returns_of_a_third_of_all_upstreams_none_gets_more_than_it_bears() {
+fn in_a_thousand_restarts_of_a_third_of_all_upstreams_none_gets_more_than_its_limit() {
     assert!(worst_return(87, Bound::Ring, 0..1_000) <= PER_S as u32);
     assert!(worst_return(87, Bound::None, 0..10) > 20);
 }
