--- a/crates/route/src/division.rs
+++ b/crates/route/src/division.rs
@@ -23,7 +23,7 @@
 const FAULTY_SLOWNESS: f64 = 1.8;
 /// The load from which on the share of short prompts is considered known, in tokens: about a hundred prompts.
 const MIN_LOAD_TOKENS: f64 = 250_000.0;
-/// The share of the engines whose speed has to be known before the division changes.
+/// The share of the engines whose speed has to be known before engines are reserved or released.
 const MIN_KNOWN_SHARE: f64 = 0.75;
 /// The fewest engines that are divided.
 const MIN_ENGINES: usize = 4;
--- a/crates/route/src/notice.rs
+++ b/crates/route/src/notice.rs
@@ -116,8 +116,8 @@
                     self.record_crash(*fingerprint, &crash.upstream, crash.stage, now);
                 }
                 let known_now = self.crashes(*fingerprint).len();
-                // A router that knows of more crashes than the notice names passes all of them on. Otherwise
-                // the sender has already told those concerned.
+                // A router that knows of more crashes than the notice names sends all of them. Otherwise the
+                // sender has already told those concerned.
                 if known_now > known_before {
                     self.follow_up(*fingerprint, known_now > ends.len(), now)
                 } else {
@@ -147,7 +147,7 @@
 /// All routers should know which requests were unanswered at a crash, since these share the blame for it. But
 /// if a large fleet loses many upstreams, each router would receive thousands of notices. So of the suspects
 /// with a single crash, only a sample is sent to all routers, a smaller part the larger the fleet, and the
-/// rest to a few routers. In addition, the routers together send to all at a fixed rate.
+/// rest to a few routers. In addition, the rate of notices to all routers is fixed for the fleet as a whole.
 #[derive(Clone, Copy, Debug)]
 pub struct NoticeLimiter {
     tokens: f64,
--- a/crates/route/src/overload.rs
+++ b/crates/route/src/overload.rs
@@ -2,8 +2,8 @@
 //!
 //! The balancer assigns callers to gateways by a hash of the caller, so one large caller can overload a small
 //! VM while its neighbours have spare capacity. Only the balancer can move callers elsewhere, and it follows
-//! readiness. So an overloaded gateway reports that it is not ready, so that new connections go to other
-//! gateways, and closes some of its connections after their answers, so that their callers open new ones.
+//! readiness. An overloaded gateway therefore reports that it is not ready, which directs new connections to
+//! other gateways, and closes some of its connections after their answers, which makes callers open new ones.
 //!
 //! ```
 //! use route::{LoadSample, OverloadMonitor};
@@ -35,7 +35,7 @@
 /// How long a gateway has to be overloaded before it becomes unready, in milliseconds.
 const OVERLOAD_DURATION_MS: Millis = 100;
 /// How long a gateway stays unready at least, in milliseconds: the balancer checks every second and acts on
-/// the second failed check.
+/// the second consecutive answer.
 const MIN_UNREADY_MS: Millis = 3_000;
 /// The share of answers after which an overloaded, unready gateway closes the connection. With a small share
 /// the load stays, and with all of them it would move to the next gateway at once.
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -69,9 +69,9 @@
 }
 
 impl Stage {
-    /// The stage of a run by the time since its first answer, in milliseconds, or `None` if there was no
-    /// answer. Returns `None` if the run had lasted for so long that the crash is not counted against its
-    /// request.
+    /// The stage of a run whose first answer arrived `begun_ms` milliseconds before the crash; `None` if none
+    /// had arrived. Returns `None` if the run had lasted for so long that the crash is not counted against
+    /// its request.
     pub fn of(begun_ms: Option<Millis>) -> Option<Stage> {
         match begun_ms {
             None => Some(Stage::Silent),
@@ -283,8 +283,8 @@
         }
     }
 
-    /// Prolongs the denial of a request that was received again, if half of it or more has passed. Returns
-    /// the upstreams, for the other routers, if it did.
+    /// Prolongs the denial of a request that was received again, if at most half of [`DENIAL_DURATION_MS`]
+    /// remains. If it was prolonged, returns the upstreams, so that the other routers can be told.
     pub fn renew(&mut self, request: Fingerprint, now: Millis) -> Option<Upstreams> {
         let denial = self.denials.get_mut(&request).filter(|denial| denial.until > now)?;
         if denial.until - now > DENIAL_DURATION_MS / 2 {
--- a/crates/route/src/signals.rs
+++ b/crates/route/src/signals.rs
@@ -7,7 +7,8 @@
 //!
 //! An upstream that refuses a request and asks for a back-off has more work than it can handle, and each
 //! further request costs it some of its remaining capacity. It gets no requests for that time, even if no
-//! other upstream is left: callers are told at once when the first upstream accepts requests again.
+//! other upstream is left: callers are refused at once, with the time at which the first upstream accepts
+//! requests again.
 
 use crate::Millis;
 use crate::limit::{Limit, LimitUpdate};
--- a/crates/route/src/warmup.rs
+++ b/crates/route/src/warmup.rs
@@ -1,7 +1,7 @@
 //! Limits on requests to upstreams that warm up.
 //!
 //! An upstream that has just started, or lost its caches, fails under the load that a warm one sustains, and
-//! it looks idle to all gateways at once. So the rate that it sustains, summed over all gateways, is limited;
+//! it looks idle to all gateways at once. So the rate of requests from all gateways together is limited;
 //! [`crate::roster`] determines the part of each gateway.
 
 use crate::Millis;
