--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -303,7 +303,7 @@
             return None;
         }
         let rest_ms = self.node.places().rests_ms(&self.request.service, self.node.now())?;
-        Some(Refusal::UpstreamsUnavailable(route::return_ms(
+        Some(Refusal::UpstreamsUnavailable(route::retry_after_ms(
             rest_ms,
             xxh3_64(self.request.ask.id.as_bytes()),
         )))
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::ports::Wire;
 use net::exec;
-use route::{Sample, Shift, Strain};
+use route::{LoadSample, OverloadMonitor, ReadinessChange};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 pub(crate) struct Load {
     received: AtomicU64,
     sent: AtomicU64,
-    strain: Mutex<Strain>,
+    strain: Mutex<OverloadMonitor>,
 }
 
 impl Load {
@@ -29,11 +29,11 @@
         Load {
             received: AtomicU64::new(0),
             sent: AtomicU64::new(0),
-            strain: Mutex::new(Strain::new(link_bytes_per_s)),
+            strain: Mutex::new(OverloadMonitor::new(link_bytes_per_s)),
         }
     }
 
-    fn strain(&self) -> MutexGuard<'_, Strain> {
+    fn strain(&self) -> MutexGuard<'_, OverloadMonitor> {
         self.strain.lock().expect("the lock is not poisoned")
     }
 
@@ -55,13 +55,13 @@
 
     /// Whether this gateway is overloaded and accepts no new callers.
     pub(crate) fn is_shedding(&self) -> bool {
-        self.strain().is_back()
+        self.strain().is_unready()
     }
 
     /// Whether to close the connection after an answer, so that the balancer sends its caller to another
     /// gateway.
     pub(crate) fn should_close_connection(&self) -> bool {
-        self.strain().closes(rand::random())
+        self.strain().should_close_connection(rand::random())
     }
 
     fn take_bytes(&self) -> u64 {
@@ -75,15 +75,16 @@
         let due = node.now_exact() + SAMPLE_INTERVAL.as_secs_f64() * 1_000.0;
         exec::sleep(SAMPLE_INTERVAL).await;
         let late_ms = (node.now_exact() - due).max(0.0);
-        let sample = Sample { at: node.now(), late_ms, bytes: node.load.take_bytes() };
+        let sample =
+            LoadSample { at: node.now(), timer_delay_ms: late_ms, link_bytes: node.load.take_bytes() };
         let (shift, (late_ms, link)) = {
             let mut strain = node.load.strain();
-            (strain.take(sample), strain.figures())
+            (strain.record(sample), strain.averages())
         };
         let event = match shift {
-            Shift::Stays => continue,
-            Shift::StepsBack => "steps-back",
-            Shift::Returns => "returns",
+            ReadinessChange::Unchanged => continue,
+            ReadinessChange::BecameUnready => "steps-back",
+            ReadinessChange::BecameReady => "returns",
         };
         log::warn!("gateway: event={event} late-ms={late_ms:.1} link={link:.2}");
     }
