--- a/crates/budget/src/claim.rs
+++ b/crates/budget/src/claim.rs
@@ -1,63 +1,65 @@
 //! At most one dispatch of a request that must not be repeated (I3).
 //!
-//! Before such a request with an idempotency key is dispatched, its router inserts a claim row that no
-//! other router ever takes over. A paused router that wakes finds its own claim as it left it, so no time
-//! limit is part of the argument.
+//! Before such a request with an idempotency key is dispatched, its router inserts a claim row, which no
+//! other router ever takes over. A router that resumes after a pause finds its claim unchanged, so the
+//! guarantee does not depend on a time limit.
 
 use serde::{Deserialize, Serialize};
 
-/// The row that binds a request identity to its only run.
+/// The row that ties a request identity to its only run.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Claim {
-    /// The router, with its incarnation.
+    /// The router that made the claim, with its incarnation.
     pub holder: String,
-    /// The request for which it was made.
+    /// The identifier of the request for which it was made.
     pub request: String,
-    /// How far it came.
-    pub state: State,
+    /// The progress of the run.
+    pub state: ClaimState,
 }
 
-/// How far the only run of a claimed request came.
+/// The progress of the only run of a claimed request.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum State {
-    /// It may have been dispatched.
+pub enum ClaimState {
+    /// The request may have been dispatched.
     Claimed,
-    /// It ended; the answer can be given again.
+    /// The run ended, and its answer can be repeated.
     Done(Answer),
 }
 
-/// An answer as it was given.
+/// A recorded answer.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Answer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The content type.
+    /// The value of the `Content-Type` header.
     pub media: String,
-    /// The body.
+    /// The response body.
     pub body: String,
 }
 
-/// What a router does with a claimed request.
+/// The next step of a router for a request that needs a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Next {
-    /// Insert the claim on condition that none is there, then decide again on what is read.
+pub enum ClaimDecision {
+    /// Insert the claim on condition that none exists, then read the row and decide again.
     Insert,
-    /// Dispatch: the claim is this request's own.
+    /// Dispatch the request: the claim belongs to it.
     Dispatch,
-    /// Give the recorded answer.
+    /// Return the recorded answer.
     Replay(Answer),
-    /// Ask the claim's holder for the run in progress; if it is gone, the outcome is unknown.
+    /// Ask the claim's holder for the run in progress. If the holder is gone, the outcome is unknown.
     Attach(Claim),
 }
 
-/// Decides by the claim row as it was read.
-pub fn decide(read: Option<&Claim>, holder: &str, request: &str) -> Next {
+/// Decides on the next step from the claim row that was read, if one exists.
+pub fn decide(read: Option<&Claim>, holder: &str, request: &str) -> ClaimDecision {
     match read {
-        None => Next::Insert,
+        None => ClaimDecision::Insert,
         Some(claim) => match &claim.state {
-            State::Done(answer) => Next::Replay(answer.clone()),
-            State::Claimed if claim.holder == holder && claim.request == request => Next::Dispatch,
-            State::Claimed => Next::Attach(claim.clone()),
+            ClaimState::Done(answer) => ClaimDecision::Replay(answer.clone()),
+            ClaimState::Claimed if claim.holder == holder && claim.request == request => {
+                ClaimDecision::Dispatch
+            }
+            ClaimState::Claimed => ClaimDecision::Attach(claim.clone()),
         },
     }
 }
--- a/crates/budget/src/demand.rs
+++ b/crates/budget/src/demand.rs
@@ -1,32 +1,32 @@
-//! How many tokens of a budget a router should hold: by its demand, and by what is left.
+//! The number of tokens of a budget that a router should hold, depending on its demand.
 //!
 //! ```
 //! let mut demand = budget::demand::Demand::default();
-//! let terms = budget::demand::Terms { cover_s: 60, least: 1_000, expose_s: 10 };
-//! demand.ask(0);
+//! let policy = budget::demand::HoldingPolicy { cover_s: 60, min_tokens: 1_000, expose_s: 10 };
+//! demand.record_request(0);
 //! for second in 1..=100 {
-//!     demand.ask(second * 1_000);
-//!     demand.consume(50);
-//!     demand.tick(1_000);
+//!     demand.record_request(second * 1_000);
+//!     demand.record_consumption(50);
+//!     demand.update_rate(1_000);
 //! }
-//! let target = demand.target(100_000, &terms);
+//! let target = demand.target(100_000, &policy);
 //! assert!((2_900..=3_000).contains(&target), "{target}");
-//! assert_eq!(demand.target(200_000, &terms), 0, "an idle budget's tokens go back");
+//! assert_eq!(demand.target(200_000, &policy), 0, "the tokens of an idle budget are returned");
 //! ```
 
-/// The weight of a new sample in the average demand.
-const SAMPLE: f64 = 0.2;
-/// Milliseconds without a request after which a budget's tokens are given back.
-const IDLE_MS: u64 = 60_000;
+/// The weight of a new sample in the average demand, after the first samples.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// The time without a request, in milliseconds, after which a budget's tokens are returned to the pool.
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 
-/// What the bundle says of a budget.
+/// How many tokens of a budget a router holds and may use between settlements.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Terms {
-    /// Seconds of demand to hold.
+pub struct HoldingPolicy {
+    /// The number of seconds of demand to hold.
     pub cover_s: u64,
-    /// The least to draw at once, in tokens.
-    pub least: u64,
-    /// Seconds of demand that may be used between two settlements.
+    /// The fewest tokens to hold, and to be able to use between two settlements.
+    pub min_tokens: u64,
+    /// The number of seconds of demand that may be used between two settlements.
     pub expose_s: u64,
 }
 
@@ -35,50 +35,53 @@
 pub struct Demand {
     rate: f64,
     consumed: u64,
-    asked: u64,
+    /// The time of the last request, in milliseconds.
+    last_request: u64,
     samples: u32,
 }
 
 impl Demand {
-    /// Notes a request at time `now` in milliseconds.
-    pub fn ask(&mut self, now: u64) {
-        self.asked = now;
+    /// Records a request at time `now`, in milliseconds.
+    pub fn record_request(&mut self, now: u64) {
+        self.last_request = now;
     }
 
-    /// Notes tokens that were charged.
-    pub fn consume(&mut self, tokens: u64) {
+    /// Records consumed tokens for the next update of the rate.
+    pub fn record_consumption(&mut self, tokens: u64) {
         self.consumed += tokens;
     }
 
-    /// Takes what was charged in the last `elapsed_ms` milliseconds into the average.
-    pub fn tick(&mut self, elapsed_ms: u64) {
+    /// Updates the average rate with the tokens consumed in the last `elapsed_ms` milliseconds.
+    pub fn update_rate(&mut self, elapsed_ms: u64) {
         let rate = self.consumed as f64 * 1_000.0 / elapsed_ms.max(1) as f64;
-        // The first samples count alike, so that the average is right from the start.
+        // The first samples have equal weights, so that the average does not start from a rate of zero.
         self.samples = self.samples.saturating_add(1);
-        self.rate += SAMPLE.max(1.0 / f64::from(self.samples)) * (rate - self.rate);
+        self.rate += SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples)) * (rate - self.rate);
         self.consumed = 0;
     }
 
-    /// Tokens consumed in a second, on average.
+    /// The average number of tokens consumed per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// The tokens that may be used between two settlements beyond what is in use: what a lost VM strands.
-    pub fn spare(&self, terms: &Terms) -> u64 {
-        ((self.rate * terms.expose_s as f64) as u64).max(terms.least)
+    /// Tokens that may be used between two settlements in addition to those in use. If the VM is lost, up to
+    /// this many unused tokens are lost with it.
+    pub fn exposure_headroom(&self, policy: &HoldingPolicy) -> u64 {
+        ((self.rate * policy.expose_s as f64) as u64).max(policy.min_tokens)
     }
 
-    /// The tokens that should be available here at time `now`.
-    pub fn target(&self, now: u64, terms: &Terms) -> u64 {
-        if now.saturating_sub(self.asked) > IDLE_MS {
+    /// The number of available tokens that this router should hold at time `now`, in milliseconds.
+    pub fn target(&self, now: u64, policy: &HoldingPolicy) -> u64 {
+        if now.saturating_sub(self.last_request) > IDLE_TIMEOUT_MS {
             return 0;
         }
-        ((self.rate * terms.cover_s as f64) as u64).max(terms.least)
+        ((self.rate * policy.cover_s as f64) as u64).max(policy.min_tokens)
     }
 }
 
-/// Whether a batch should be opened although nothing has to be settled: to draw, or to give back.
+/// Whether a batch should be opened although nothing has to be settled, because this router holds too many or
+/// too few tokens. `pool_free` is the last known number of free tokens in the pool.
 pub fn is_off_target(available: u64, target: u64, pool_free: Option<u64>) -> bool {
     let has_excess = available > target.saturating_mul(2);
     let wants_more = available < target / 2 && pool_free.is_none_or(|free| free > 0);
--- a/crates/budget/src/exposure.rs
+++ b/crates/budget/src/exposure.rs
@@ -1,11 +1,12 @@
-//! What a router may use between two notes of its use, so that little is lost with it.
+//! Limits on the tokens that a router may use between two usage notes, so that few are lost if it crashes.
 //!
-//! A router notes how much it has used of a budget, and the [`Schedule`] that it keeps until its next note. A
-//! later life of the same VM knows that the earlier one is dead, and how long ago the note was made; so it can
-//! give back everything that the schedule did not allow by then, without knowing when the router died.
+//! A usage note is a row in the store. It records how much of a budget a router has used, and the
+//! [`Schedule`] that limits its use until the next note. When the VM starts again, its new process knows that
+//! the previous one is dead and how old the note is. So it can return all tokens that the schedule did not
+//! allow by then, without knowing when the previous process died.
 //!
-//! The router measures the time from before it sent the note, and whoever reads it from a moment no later than
-//! that, so the reader never assumes less than the router was allowed.
+//! The router counts the age of a note from before it was sent, and a reader counts it from the same time or
+//! earlier. So the reader never assumes that less was used than the router was allowed to use.
 //!
 //! ```
 //! let schedule = budget::exposure::Schedule {
@@ -20,130 +21,146 @@
 //!     late_per_s: 50,
 //!     late_most: 80,
 //! };
-//! assert_eq!(schedule.limit(500), 120, "notes are written more often than that");
-//! assert_eq!(schedule.limit(1_500), 130, "without new ones the limit grows, so that an outage is bridged");
-//! assert_eq!(schedule.limit(2_500), 190, "faster for a while, since some requests are large");
-//! assert_eq!(schedule.limit(9_500), 290, "and then no faster than the demand: a death costs what was allowed");
+//! assert_eq!(schedule.limit(500), 120, "the next note is usually written before this age");
+//! assert_eq!(schedule.limit(1_500), 130, "without a new note the limit grows, to bridge an outage");
+//! assert_eq!(schedule.limit(2_500), 190, "it grows faster for a while, since some requests are large");
+//! assert_eq!(schedule.limit(9_500), 290, "then by demand only, since a crash loses what was allowed");
 //! ```
 
 use crate::ledger::Line;
 use serde::{Deserialize, Serialize};
 
-/// The time whose demand may be used at once after a note, beyond what waits for one, in milliseconds. Little: while the
-/// store answers, a request that needs more has a new note written first, and a death costs it.
-const NOTED_MS: u64 = 100;
-/// Where notes take longer: this multiple of the time that they take, one that is on its way and the next, and that time
-/// at the most. It is what the store takes when it is slow or loses answers, and a cut shows as such a time too.
-const NOTED_TIMES: u64 = 2;
-const NOTED_MOST_MS: u64 = 1_500;
-/// The part of what is at hand that may be used at once after a note.
-const NOTED_PART: u64 = 256;
-/// From this age on a note's limit grows by this part of the demand, in milliseconds: a note that old was due before, so the
-/// store is away, and of those that ask now about a quarter would be refused or told to come back too late. Little, since
-/// each death costs it (`tests/outages.rs` holds the bound).
-const FIRST_MS: u64 = 300;
+/// A new note allows the demand of at least this time, in milliseconds, in addition to the tokens that
+/// requests wait for. The time is short because a crash loses these tokens; as long as the store answers, a
+/// request that needs more has a new note written first.
+const MIN_NOTE_WINDOW_MS: u64 = 100;
+/// If notes take longer to be acknowledged, this time is this multiple of their latency: for the note in
+/// progress and the next one.
+const NOTE_WINDOW_LATENCIES: u64 = 2;
+/// The upper bound of this time, in milliseconds. A note takes about this long when the store is slow or
+/// loses answers; an outage shows as such a latency too.
+const MAX_NOTE_WINDOW_MS: u64 = 1_500;
+/// A new note also allows this fraction (1/n) of the available tokens.
+const NOTE_AVAILABLE_DIVISOR: u64 = 256;
+/// The age of a note, in milliseconds, from which its limit grows slowly. The next note was due before, so
+/// the store does not answer. Without this growth about a quarter of the requests arriving now would be
+/// refused or told to retry too late.
+const FIRST_GROWTH_AFTER_MS: u64 = 300;
+/// The slow growth, as a multiple of the demand. It is small because each crash loses the tokens by which the
+/// limit grew (`tests/outages.rs` checks the bound).
 const FIRST_GROWTH: f64 = 0.3;
-/// From this age on it grows faster, in milliseconds: longer than most restarts take, since a death costs what the limit
-/// grew by until the next start.
-const EARLY_MS: u64 = 1_800;
-/// Multiple of the demand by which a note's limit grows from then on. So near to one because a death in an outage costs
-/// what the limit passes the use by (`tests/outages.rs` holds the bound).
-const GROWTH: f64 = 1.1;
-/// It grows at least by an owner's part of what is left within so many seconds: a team that has asked for little so far is
-/// served through an outage too, and what a death costs then lasts it for about that time.
-const LEAST_S: u64 = 80;
-/// From this age on it also grows by the demand once more, in milliseconds.
-const LATE_MS: u64 = 2_000;
-/// And by all that is at hand within so many seconds, so that large requests fit soon.
-const LATE_S: u64 = 8;
-/// The most by which it grows late: the demand of so many seconds, for what was refused before, and one part in so many of an
-/// owner's part of what is left, for requests that are larger than most.
-const LATE_DEMAND_S: f64 = 0.6;
-const LATE_PART: u64 = 60;
+/// The age of a note, in milliseconds, from which its limit grows faster. Most restarts take less time, and a
+/// crash loses the tokens by which the limit grew until the next start.
+const EARLY_GROWTH_AFTER_MS: u64 = 1_800;
+/// The faster growth, as a multiple of the demand. It is close to 1 because a crash during an outage loses
+/// the difference between the limit and the tokens used (`tests/outages.rs` checks the bound).
+const EARLY_GROWTH: f64 = 1.1;
+/// The faster growth is at least an owner's share of the unspent tokens within this many seconds. So a team
+/// with little demand so far is served during an outage too. The tokens that a crash then loses would last it
+/// for about that time.
+const MIN_EARLY_GROWTH_S: u64 = 80;
+/// The age of a note, in milliseconds, from which its limit grows faster still, by the demand once more.
+const LATE_GROWTH_AFTER_MS: u64 = 2_000;
+/// The late growth also adds all available tokens within this many seconds, so that large requests soon fit.
+const LATE_GROWTH_S: u64 = 8;
+/// The late growth is at most the demand of this many seconds, for the requests that were refused before,
+/// plus a part of the unspent tokens (see below).
+const LATE_GROWTH_DEMAND_S: f64 = 0.6;
+/// The fraction (1/n) of an owner's share of the unspent tokens by which the limit may also grow late, for
+/// unusually large requests.
+const LATE_GROWTH_DIVISOR: u64 = 60;
 
-/// A time in milliseconds of a clock that neither stops nor jumps.
+/// A time or duration in milliseconds, measured by a monotonic clock that does not stop.
 pub type Millis = u64;
 
-/// How much a router may have used of a budget, by the time since its note.
+/// The number of tokens of a budget that a router may use, as a function of the age of its note.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Schedule {
-    /// Used when the note was made: charged, or reserved at the worst.
+    /// Tokens used when the note was made: charged, or reserved at their worst case.
     pub used: u64,
-    /// The part of it that requests which ended were charged: what a death costs beyond this was reserved, or allowed.
+    /// The part of `used` that was charged for completed requests. The rest of what a crash loses was
+    /// reserved or allowed.
     #[serde(default)]
     pub charged: u64,
-    /// Allowed beyond that by `early_ms`. A process of an earlier version, which may read this one's note, takes it to be
-    /// allowed at once, and so never assumes less than was.
+    /// Tokens allowed in addition to `used` by the age `early_ms`. A process of an earlier version that reads
+    /// the note takes them to be allowed from the start, so it never assumes less than was allowed.
     pub allowance: u64,
-    /// From then on the limit grows a little, in milliseconds since the note.
+    /// The age of the note, in milliseconds, from which the limit grows slowly.
     #[serde(default)]
     pub first_ms: u64,
-    /// How much of the allowance is added in a second from then on; before, all of that is held back.
+    /// The slow growth per second until `early_ms`. It is part of the allowance and held back before
+    /// `first_ms`.
     #[serde(default)]
     pub first_per_s: u64,
-    /// From then on it grows in place of that so that an outage is bridged, in milliseconds since the note.
+    /// The age of the note, in milliseconds, from which the limit grows by `per_s` instead, to serve requests
+    /// during an outage.
     #[serde(default)]
     pub early_ms: u64,
-    /// How much it grows in a second.
+    /// The growth per second from `early_ms` on.
     pub per_s: u64,
-    /// From then on it grows faster, in milliseconds since the note.
+    /// The age of the note, in milliseconds, from which the limit grows faster.
     pub late_ms: u64,
-    /// How much more it grows in a second from then on.
+    /// The additional growth per second from `late_ms` on.
     pub late_per_s: u64,
-    /// The most by which it grows in that way.
+    /// The upper bound of this additional growth.
     #[serde(default = "unbounded")]
     pub late_most: u64,
 }
 
-/// Processes of an earlier version did not bound their late growth.
+/// The default for notes of earlier versions, which did not limit their late growth.
 fn unbounded() -> u64 {
     u64::MAX
 }
 
-/// What a schedule is made from.
+/// The state of a budget from which a schedule is made.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Outlook {
-    /// Tokens used so far: charged, or reserved at the worst.
+pub struct ScheduleInput {
+    /// Tokens used so far: charged, or reserved at their worst case.
     pub used: u64,
     /// Tokens charged so far.
     pub charged: u64,
     /// Tokens that requests wait for.
     pub waiting: u64,
-    /// Tokens at hand.
+    /// Tokens that the router holds and has not reserved.
     pub available: u64,
-    /// Tokens of the budget that nobody has spent.
-    pub left: u64,
-    /// Gateways that own the budget: each takes its part of what is left.
+    /// Tokens of the budget that no router has spent.
+    pub unspent: u64,
+    /// The number of gateways that own the budget; each counts on an equal share of the unspent tokens.
     pub owners: u64,
-    /// Tokens consumed in a second, on average.
+    /// The average number of tokens consumed per second.
     pub rate: f64,
-    /// How long a note takes to be acknowledged, in milliseconds.
-    pub note_ms: u64,
+    /// The time until a note is acknowledged, in milliseconds.
+    pub note_latency_ms: u64,
 }
 
 impl Schedule {
     /// The schedule of a note that is about to be written.
-    pub fn plan(outlook: &Outlook) -> Schedule {
-        let Outlook { used, charged, waiting, available, left, owners, rate, note_ms } = *outlook;
-        let left = left / owners.max(1);
-        let noted_ms = (NOTED_TIMES * note_ms).clamp(NOTED_MS, NOTED_MOST_MS);
-        let noted = (rate * noted_ms as f64 / 1_000.0) as u64;
+    pub fn plan(input: &ScheduleInput) -> Schedule {
+        let ScheduleInput { used, charged, waiting, available, unspent, owners, rate, note_latency_ms } =
+            *input;
+        let share = unspent / owners.max(1);
+        let window_ms =
+            (NOTE_WINDOW_LATENCIES * note_latency_ms).clamp(MIN_NOTE_WINDOW_MS, MAX_NOTE_WINDOW_MS);
+        let window_demand = (rate * window_ms as f64 / 1_000.0) as u64;
         let first_per_s = (rate * FIRST_GROWTH) as u64;
         Schedule {
             used,
             charged,
-            allowance: waiting + noted + available / NOTED_PART + growth(first_per_s, EARLY_MS - FIRST_MS),
-            first_ms: FIRST_MS,
+            allowance: waiting
+                + window_demand
+                + available / NOTE_AVAILABLE_DIVISOR
+                + growth(first_per_s, EARLY_GROWTH_AFTER_MS - FIRST_GROWTH_AFTER_MS),
+            first_ms: FIRST_GROWTH_AFTER_MS,
             first_per_s,
-            early_ms: EARLY_MS,
-            per_s: ((rate * GROWTH) as u64).max(left / LEAST_S),
-            late_ms: LATE_MS,
-            late_per_s: rate as u64 + available / LATE_S,
-            late_most: (rate * LATE_DEMAND_S) as u64 + left / LATE_PART,
+            early_ms: EARLY_GROWTH_AFTER_MS,
+            per_s: ((rate * EARLY_GROWTH) as u64).max(share / MIN_EARLY_GROWTH_S),
+            late_ms: LATE_GROWTH_AFTER_MS,
+            late_per_s: rate as u64 + available / LATE_GROWTH_S,
+            late_most: (rate * LATE_GROWTH_DEMAND_S) as u64 + share / LATE_GROWTH_DIVISOR,
         }
     }
 
-    /// The most that may have been used so long after the note.
+    /// The most that may have been used when the note is `elapsed_ms` milliseconds old.
     pub fn limit(&self, elapsed_ms: u64) -> u64 {
         let held_back = growth(self.first_per_s, self.early_ms.saturating_sub(elapsed_ms.max(self.first_ms)));
         let early = growth(self.per_s, elapsed_ms.saturating_sub(self.early_ms));
@@ -153,7 +170,8 @@
             .fold(self.used, u64::saturating_add)
     }
 
-    /// What a dead router may hold in use beyond what its account's line says is spent.
+    /// The most that a dead router may have used in addition to the spent tokens that its account's line
+    /// shows.
     pub fn exposed(&self, line: &Line, elapsed_ms: u64) -> u64 {
         self.limit(elapsed_ms).saturating_sub(line.spent)
     }
@@ -164,47 +182,47 @@
     u64::try_from(grown).unwrap_or(u64::MAX)
 }
 
-/// The notes of one budget that bind this router: the newest that was acknowledged, and those sent since whose
-/// fate is not known.
+/// The usage notes that limit what this router may use of one budget: the last acknowledged one, and those
+/// sent since whose outcome is unknown.
 ///
-/// Each note is written under the condition that the row is as last seen. So once one took effect, those before
-/// it either were overwritten or never will take effect.
+/// Each note is written on condition that the row has not changed since it was last read. So once a note has
+/// taken effect, each earlier one has been overwritten or never takes effect.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
-pub struct Notes {
-    noted: Option<(Millis, Schedule)>,
-    unsure: Vec<(Millis, Schedule)>,
+pub struct UsageNotes {
+    acknowledged: Option<(Millis, Schedule)>,
+    unconfirmed: Vec<(Millis, Schedule)>,
 }
 
-impl Notes {
-    /// Adds a note that is about to be sent; it binds from now on.
-    pub fn begin(&mut self, now: Millis, schedule: Schedule) {
-        self.unsure.push((now, schedule));
+impl UsageNotes {
+    /// Records a note that is about to be sent. Its limit applies from now on.
+    pub fn record_sent(&mut self, now: Millis, schedule: Schedule) {
+        self.unconfirmed.push((now, schedule));
     }
 
-    /// Takes in how the newest note ended: `Some(true)` if it took effect, `Some(false)` if it certainly did not
-    /// and never will, `None` if that is not known.
-    pub fn end(&mut self, took_effect: Option<bool>) {
+    /// Records the outcome of the last note: `Some(true)` if it took effect, `Some(false)` if it never will,
+    /// and `None` if its outcome is unknown.
+    pub fn record_result(&mut self, took_effect: Option<bool>) {
         match took_effect {
             Some(true) => {
-                self.noted = self.unsure.pop().or(self.noted);
-                self.unsure.clear();
+                self.acknowledged = self.unconfirmed.pop().or(self.acknowledged);
+                self.unconfirmed.clear();
             }
             Some(false) => {
-                self.unsure.pop();
+                self.unconfirmed.pop();
             }
             None => {}
         }
     }
 
-    /// The most that may be used now; without any note nothing bounds it, and whoever closes the account finds
-    /// none.
+    /// The most that may be used now. Without any note there is no limit, and a process that closes the
+    /// account finds no note either.
     pub fn limit(&self, now: Millis) -> u64 {
         let limit = |(sent, schedule): &(Millis, Schedule)| schedule.limit(now.saturating_sub(*sent));
-        self.noted.iter().chain(&self.unsure).map(limit).min().unwrap_or(u64::MAX)
+        self.acknowledged.iter().chain(&self.unconfirmed).map(limit).min().unwrap_or(u64::MAX)
     }
 
-    /// How long ago the acknowledged note was sent.
+    /// The time since the last acknowledged note was sent.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.noted.map(|(sent, _)| now.saturating_sub(sent))
+        self.acknowledged.map(|(sent, _)| now.saturating_sub(sent))
     }
 }
--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -1,41 +1,43 @@
-//! The rows kept by the platform, and the transaction that moves tokens between them.
+//! The budget rows in the platform's store, and the transaction that moves tokens between them.
 //!
-//! A [`Pool`] row holds what a budget still has; an [`Account`] row, written by one router only, holds the
-//! cumulative sums of what that router drew, spent and gave back. Because the sums are cumulative and the
-//! account has a sequence, a transaction whose answer was lost is repeated or recognised without harm.
+//! A [`Pool`] row holds the remaining tokens of a budget. An [`Account`] row belongs to one router and holds
+//! the cumulative sums of the tokens that the router drew, spent and returned. Because the sums are
+//! cumulative and the account has a sequence number, a transaction whose answer was lost can be recognised or
+//! repeated safely.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests' worth of tokens that a waiting request brings along, where a router's share is less.
-const SEVERAL: u64 = 4;
-/// The part of what is free that such a grant takes at most.
-const SEVERAL_PART: u64 = 64;
-/// Idle tokens stay wanted until this fraction of a level is free again.
-const WANTED_UNTIL: u64 = 16;
+/// A grant from a level is at least this multiple of the need, so that not every request writes the pool's
+/// row.
+const NEED_MULTIPLE: u64 = 4;
+/// This minimum is at most this fraction (1/n) of the free tokens.
+const MIN_GRANT_DIVISOR: u64 = 64;
+/// Once set, [`Pool::wanted`] stays set until this fraction (1/n) of the level is free again.
+const WANTED_CLEAR_DIVISOR: u64 = 16;
 
-/// One prepayment, identified so that it counts once however often it is applied (I5).
+/// A prepayment. Its identifier ensures that it is added once, however often it is applied (I5).
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Credit {
-    /// The identifier, for example an invoice number; unique in its budget.
+    /// The identifier, for example an invoice number; unique within its budget.
     pub id: String,
     /// Prepaid tokens.
     pub tokens: u64,
 }
 
-/// What one request cost.
+/// The cost of one request.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Charge {
-    /// The request's identifier in the fleet.
+    /// The request's identifier, unique in the fleet.
     pub request: String,
-    /// The caller's idempotency key, if it sent one: the charge counts once for each key (I2).
+    /// The caller's idempotency key, if it sent one. Each key is charged once (I2).
     pub key: Option<String>,
     /// Tokens consumed.
     pub tokens: u64,
 }
 
-/// The state of one budget at the platform.
+/// The state of one budget in the store.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Pool {
     /// Tokens that no router holds.
@@ -46,44 +48,47 @@
     pub spent: u64,
     /// The credits applied so far.
     pub credits: BTreeMap<String, u64>,
-    /// The level that the operator sets instead of single credits, if that is how the budget is prepaid.
+    /// The total set by the operator, for budgets that are not prepaid by single credits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub level: Option<Level>,
-    /// With a level: a router needed more than was free, so the others should give back what lies idle.
+    /// For a budget with a level: a router needed more than was free, so the others should return idle
+    /// tokens.
     #[serde(default)]
     pub wanted: bool,
 }
 
-/// A prepaid total that may be raised and lowered; the latest version of the configuration decides.
+/// A prepaid total, which the operator may raise or lower. The latest version of the configuration applies.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Level {
-    /// The version of the configuration that set it.
+    /// The version of the configuration that set the total.
     pub version: u64,
-    /// Tokens that may be spent in all.
+    /// The total number of tokens that may be spent.
     pub tokens: u64,
 }
 
 impl Pool {
-    /// Sets the prepaid total, unless a later version of the configuration set it before.
+    /// Sets the prepaid total and returns `true`, unless the same or a later version of the configuration has
+    /// already set it.
     ///
-    /// A total below what is spent and outstanding leaves nothing free until enough tokens came back.
+    /// If the total is less than what is spent and outstanding, nothing is free until enough tokens are
+    /// returned.
     pub fn set_level(&mut self, level: Level) -> bool {
         if self.level.is_some_and(|known| known.version >= level.version) {
             return false;
         }
         self.level = Some(level);
-        self.refill();
+        self.recompute_free();
         true
     }
 
-    /// With a level, what is free follows from what is spent and outstanding.
-    fn refill(&mut self) {
+    /// For a budget with a level, derives the free tokens from those spent and outstanding.
+    fn recompute_free(&mut self) {
         if let Some(level) = self.level {
             self.free = level.tokens.saturating_sub(self.outstanding + self.spent);
         }
     }
 
-    /// Adds a credit unless its identifier was added before (I5).
+    /// Adds a credit and returns `true`, unless a credit with this identifier was added before (I5).
     pub fn credit(&mut self, id: &str, tokens: u64) -> bool {
         if self.credits.contains_key(id) {
             return false;
@@ -93,16 +98,16 @@
         true
     }
 
-    /// Tokens ever prepaid.
+    /// The sum of all credits.
     pub fn credited(&self) -> u64 {
         self.credits.values().sum()
     }
 
-    /// Whether every prepaid token is in exactly one place (I1).
-    pub fn balance(&self) -> bool {
+    /// Whether every prepaid token is counted exactly once as free, outstanding or spent (I1).
+    pub fn is_balanced(&self) -> bool {
         let held = self.outstanding + self.spent;
         match self.level {
-            // A level may have been lowered below what routers hold; then nothing more is granted.
+            // The level may have been lowered below what is outstanding and spent; then nothing is free.
             Some(level) => self.free == level.tokens.saturating_sub(held),
             None => self.credited() == self.free + held,
         }
@@ -118,25 +123,25 @@
     pub spent: u64,
     /// Consumed, but not charged because another router charged the same request.
     pub voided: u64,
-    /// Given back to the pool.
+    /// Returned to the pool.
     pub returned: u64,
-    /// Handed to other routers.
+    /// Lent to other routers.
     pub sent: u64,
-    /// Taken over from other routers.
+    /// Received from other routers.
     pub received: u64,
-    /// The most that the router may use until it settles again: reserve, consume or lend.
+    /// The exposure limit: the most that the router may reserve, consume or lend before its next settlement.
     pub exposed: u64,
 }
 
 impl Line {
-    /// Tokens that the router held when the line was written; what its death strands at most, but for
-    /// transfers that no line shows yet.
+    /// Tokens that the router held when the line was written. If the router crashes, no more than these are
+    /// lost, except for transfers that no line shows yet.
     pub fn held(&self) -> u64 {
         (self.granted + self.received).saturating_sub(self.spent + self.returned + self.sent)
     }
 }
 
-/// One router's row.
+/// The row of one router.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Account {
     /// The sequence of the last batch that took effect.
@@ -145,31 +150,32 @@
     pub lines: BTreeMap<String, Line>,
     /// The router that may close this account once its owner is gone.
     pub keeper: String,
-    /// Whether it was closed: then nothing is granted to it any more.
+    /// Whether the account was closed. Nothing is granted to a closed account.
     pub closed: bool,
 }
 
-/// Closes the account of a router that is gone, and gives back what it can't have used; returns the tokens by
-/// budget.
+/// Closes the account of a router that is gone, and returns the tokens that it can't have used to their
+/// pools. Returns these tokens by budget.
 ///
-/// Safe even if the router lives on unaware: between settlements it never uses more than `exposed`, and that
-/// part stays outstanding. So no clock and no list is part of the argument (I1, I6).
+/// This is safe even if the router is still running and doesn't know that its account was closed: between
+/// settlements it never uses more than `exposed`, and these tokens stay outstanding. Safety (I1, I6)
+/// therefore depends neither on clocks nor on a list of live routers.
 ///
 /// # Errors
-/// Fails if a pool does not hold the tokens; then nothing must be written.
-pub fn release(
+/// Fails if a pool has fewer tokens outstanding than would be returned; the rows must not be written then.
+pub fn close_account(
     account: &mut Account,
     pools: &mut BTreeMap<String, Pool>,
 ) -> Result<BTreeMap<String, u64>, Error> {
-    release_beyond(account, pools, |_, line| line.exposed)
+    close_account_with_exposure(account, pools, |_, line| line.exposed)
 }
 
-/// As [`release`], for a router that is certainly dead: `exposed` says what it may have used of each budget
-/// beyond what its line shows.
+/// Like [`close_account`], for a router that is known to be dead: `exposed` gives the tokens of each budget
+/// that it may have used beyond those that its line shows.
 ///
 /// # Errors
-/// As [`release`].
-pub fn release_beyond(
+/// See [`close_account`].
+pub fn close_account_with_exposure(
     account: &mut Account,
     pools: &mut BTreeMap<String, Pool>,
     exposed: impl Fn(&str, &Line) -> u64,
@@ -181,7 +187,7 @@
         let imbalance = || Error::Imbalance(budget.clone());
         pool.outstanding = pool.outstanding.checked_sub(tokens).ok_or_else(imbalance)?;
         pool.free += tokens;
-        pool.refill();
+        pool.recompute_free();
         line.returned += tokens;
         released.insert(budget.clone(), tokens);
     }
@@ -189,31 +195,31 @@
     Ok(released)
 }
 
-/// What one router asks for one budget in a batch.
+/// The part of a batch that concerns one budget.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Entry {
     /// Charges to settle.
     pub charges: Vec<Charge>,
-    /// Credits named by the bundle in force.
+    /// The budget's credits in the active bundle.
     pub credits: Vec<Credit>,
-    /// Unused tokens to give back.
+    /// Unused tokens to return to the pool.
     pub returned: u64,
-    /// Tokens handed to other routers since the last batch.
+    /// Tokens lent to other routers since the last batch.
     pub sent: u64,
-    /// Tokens taken over from other routers since the last batch.
+    /// Tokens received from other routers since the last batch.
     pub received: u64,
-    /// Tokens wanted, so that requests can be served through an outage.
+    /// Tokens wanted, so that requests can be served during an outage of the store.
     pub want: u64,
-    /// Tokens without which a waiting request is refused.
+    /// Tokens that waiting requests need in order not to be refused.
     pub need: u64,
-    /// The most that the router will use until it settles again.
+    /// The exposure limit: the most that the router will use before its next settlement.
     pub exposed: u64,
 }
 
-/// Everything one router settles in one transaction.
+/// What one router settles in one transaction.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Batch {
-    /// The number of this batch in its account, from 1.
+    /// The sequence number of this batch in its account, starting at 1.
     pub sequence: u64,
     /// The entries by budget.
     pub entries: BTreeMap<String, Entry>,
@@ -224,36 +230,37 @@
 /// Why a batch can't be posted.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// The batch took effect before.
-    #[error("batch {0} was posted before")]
-    Posted(u64),
-    /// The account has a gap before this batch.
-    #[error("batch {0} does not follow the account's last one")]
-    Gap(u64),
-    /// The row would lose or invent tokens; nothing is written.
+    /// The batch was already posted.
+    #[error("batch {0} was already posted")]
+    AlreadyPosted(u64),
+    /// An earlier batch of the account is missing.
+    #[error("batch {0} does not follow the account's last batch")]
+    SequenceGap(u64),
+    /// Tokens would be lost or created, so nothing is written.
     #[error("pool {0} does not hold the tokens that the batch settles")]
     Imbalance(String),
 }
 
-/// Posts `batch` to the rows; on an error the rows must not be written.
+/// Posts `batch` to the rows. On an error the rows must not be written.
 ///
-/// `charged` says whether another request already charged this key of this budget (I2). `fleet` is the
-/// number of routers that draw on the pools: the scarcer a pool, the smaller the grant beyond the need.
+/// `charged` tells whether another request already charged this key of this budget (I2). `fleet` is the
+/// number of routers that draw on the pools; for a budget prepaid by credits, it limits what each is granted
+/// beyond its need.
 ///
 /// # Errors
 /// See [`Error`].
 pub fn post(
     account: &mut Account,
     pools: &mut BTreeMap<String, Pool>,
-    charged: &impl Fn(&KeyRef<'_>) -> bool,
+    charged: &impl Fn(&ChargeIdentity<'_>) -> bool,
     batch: &Batch,
     fleet: u64,
 ) -> Result<(), Error> {
     if batch.sequence <= account.sequence {
-        return Err(Error::Posted(batch.sequence));
+        return Err(Error::AlreadyPosted(batch.sequence));
     }
     if batch.sequence > account.sequence + 1 {
-        return Err(Error::Gap(batch.sequence));
+        return Err(Error::SequenceGap(batch.sequence));
     }
     for (budget, entry) in &batch.entries {
         let pool = pools.entry(budget.clone()).or_default();
@@ -269,14 +276,14 @@
     Ok(())
 }
 
-/// A request identity within a budget.
+/// The identity of a charged request within a budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct KeyRef<'a> {
+pub struct ChargeIdentity<'a> {
     /// The budget.
     pub budget: &'a str,
     /// The caller's idempotency key.
     pub key: &'a str,
-    /// The request that wants to charge it.
+    /// The request that the charge is for.
     pub request: &'a str,
 }
 
@@ -284,7 +291,7 @@
     budget: &str,
     pool: &mut Pool,
     line: &mut Line,
-    charged: &impl Fn(&KeyRef<'_>) -> bool,
+    charged: &impl Fn(&ChargeIdentity<'_>) -> bool,
     entry: &Entry,
     (fleet, most): (u64, u64),
 ) -> Option<()> {
@@ -293,7 +300,8 @@
     }
     let mut seen = BTreeSet::new();
     for charge in &entry.charges {
-        let identity = charge.key.as_deref().map(|key| KeyRef { budget, key, request: &charge.request });
+        let identity =
+            charge.key.as_deref().map(|key| ChargeIdentity { budget, key, request: &charge.request });
         if identity.is_some_and(|identity| charged(&identity) || !seen.insert(identity.key)) {
             line.voided += charge.tokens;
         } else {
@@ -302,11 +310,12 @@
             pool.outstanding = pool.outstanding.checked_sub(charge.tokens)?;
         }
     }
-    // A closed account gave back everything that was not exposed, this batch's part included.
+    // Closing the account already returned everything that was not exposed, including what this batch
+    // returns.
     let returned = entry.returned.min(most);
     pool.outstanding = pool.outstanding.checked_sub(returned)?;
     pool.free += returned;
-    pool.refill();
+    pool.recompute_free();
     line.returned += returned;
     line.sent += entry.sent;
     line.received += entry.received;
@@ -315,31 +324,32 @@
         line.exposed = entry.exposed;
     }
     let grant = match pool.level {
-        Some(_) => size_of_level(pool.free, entry.want, entry.need),
-        None => size(pool.free, entry.want, entry.need, fleet),
+        Some(_) => grant_from_level(pool.free, entry.want, entry.need),
+        None => grant_from_credits(pool.free, entry.want, entry.need, fleet),
     }
     .min(most);
     pool.free -= grant;
     pool.outstanding += grant;
     if let Some(level) = pool.level {
-        let is_short = pool.wanted && pool.free < level.tokens / WANTED_UNTIL;
+        let is_short = pool.wanted && pool.free < level.tokens / WANTED_CLEAR_DIVISOR;
         pool.wanted = grant < entry.need || is_short;
     }
     line.granted += grant;
-    pool.balance().then_some(())
+    pool.is_balanced().then_some(())
 }
 
-/// Sizes a grant from a level: the need, and beyond it what the router wants up to half of what is free, since the
-/// others want their shares too. Where that is less than a request, some more requests' worth, so that not each of them
-/// writes the pool's row.
-fn size_of_level(free: u64, want: u64, need: u64) -> u64 {
-    let several = need.saturating_mul(SEVERAL).min(free / SEVERAL_PART);
-    let share = (free / 2).max(several);
-    want.min(share).max(several).max(need).min(free)
+/// The size of a grant from a budget with a level: the need, or what the router wants up to half of the free
+/// tokens, so that the other routers get their shares too. A grant is at least several times the need, within
+/// a small part of the free tokens, so that not every request writes the pool's row.
+fn grant_from_level(free: u64, want: u64, need: u64) -> u64 {
+    let minimum = need.saturating_mul(NEED_MULTIPLE).min(free / MIN_GRANT_DIVISOR);
+    let share = (free / 2).max(minimum);
+    want.min(share).max(minimum).max(need).min(free)
 }
 
-/// Sizes a grant: the need if the pool has it, and beyond it at most half of this router's equal share.
-fn size(free: u64, want: u64, need: u64, fleet: u64) -> u64 {
+/// The size of a grant from a budget prepaid by credits: the need, as far as the pool has it, or what the
+/// router wants, up to half of an equal share of the free tokens.
+fn grant_from_credits(free: u64, want: u64, need: u64, fleet: u64) -> u64 {
     let share = free / (2 * fleet.max(1));
     want.min(share).max(need).min(free)
 }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,30 +1,31 @@
-//! Prepaid budgets: pure decisions on grants, charges and claims.
+//! Prepaid token budgets: decisions on grants, charges and claims, without side effects.
 //!
-//! Nothing here does I/O or reads a clock, so the same code runs in the router, in the model check and in
-//! the benches. The invariants, named as in the design note `docs/design/budgets.md`:
+//! This crate does no I/O and reads no clock, so the same code runs in the router, in the model check and in
+//! the benchmarks. It maintains the following invariants, described in `docs/design/budgets.md`:
 //!
-//! - **I1** spent + still possible spend ≤ credits, at all times ([`ledger::Pool::balance`]);
-//! - **I2** one charge for each request identity ([`ledger::post`]);
-//! - **I3** at most one dispatch of a request that must not be repeated ([`claim::decide`]);
-//! - **I4** "not run" is only said of a request that was never dispatched;
-//! - **I5** credits are identified entries that are added once and never taken away ([`ledger::Pool::credit`]);
-//! - **I6** tokens are consumed only under a reservation of the worst case ([`grant::Grant::reserve`]).
+//! - **I1** the tokens spent and those that may still be spent never exceed the credits
+//!   ([`ledger::Pool::is_balanced`]);
+//! - **I2** each request identity is charged once ([`ledger::post`]);
+//! - **I3** a request that must not be repeated is dispatched at most once ([`claim::decide`]);
+//! - **I4** "not run" is only reported for a request that was never dispatched;
+//! - **I5** each credit has an identifier, is added once and is never removed ([`ledger::Pool::credit`]);
+//! - **I6** tokens are consumed only after the worst case was reserved ([`grant::Grant::reserve`]).
 //!
 //! ```
-//! use budget::{grant::{Grant, Reserve}, ledger::{Account, Batch, Pool, post}};
+//! use budget::{grant::{Grant, ReserveOutcome}, ledger::{Account, Batch, Pool, post}};
 //!
 //! let mut pool = Pool::default();
 //! pool.credit("invoice-1", 1_000);
 //! let mut grant = Grant::default();
-//! assert_eq!(grant.reserve(400), Reserve::Short(400));
+//! assert_eq!(grant.reserve(400), ReserveOutcome::Insufficient(400));
 //!
 //! let mut batch = Batch { sequence: 1, ..Batch::default() };
-//! batch.entries.insert("radar".into(), grant.open(500, 400, 0, vec![], 10).unwrap());
+//! batch.entries.insert("radar".into(), grant.open_entry(500, 400, 0, vec![], 10).unwrap());
 //! let mut account = Account::default();
 //! let mut pools = [("radar".to_owned(), pool)].into();
 //! post(&mut account, &mut pools, &|_| false, &batch, 1).unwrap();
-//! grant.close(&account.lines["radar"]);
-//! assert_eq!(grant.reserve(400), Reserve::Held);
+//! grant.close_entry(&account.lines["radar"]);
+//! assert_eq!(grant.reserve(400), ReserveOutcome::Reserved);
 //! ```
 
 pub mod claim;
--- a/crates/budget/tests/model/claims.rs
+++ b/crates/budget/tests/model/claims.rs
@@ -6,7 +6,7 @@
 //! from then on.
 
 use crate::search::{Model, assert_breaks, assert_holds};
-use budget::claim::{Answer, Claim, Next, State as Progress, decide};
+use budget::claim::{Answer, Claim, ClaimDecision, ClaimState, decide};
 
 const ROUTERS: usize = 2;
 
@@ -102,11 +102,11 @@
         let router = &mut next.routers[index];
         let me = holder(index, router);
         router.phase = match decide(state.row.as_ref(), &me, &request(router)) {
-            Next::Insert => Phase::Inserting,
-            Next::Dispatch => Phase::Ready,
-            Next::Replay(_) => Phase::Answered(Verdict::Done),
-            Next::Attach(_) if self.flaw == Flaw::TakeOver => Phase::Ready,
-            Next::Attach(_) => Phase::Answered(Verdict::Unknown),
+            ClaimDecision::Insert => Phase::Inserting,
+            ClaimDecision::Dispatch => Phase::Ready,
+            ClaimDecision::Replay(_) => Phase::Answered(Verdict::Done),
+            ClaimDecision::Attach(_) if self.flaw == Flaw::TakeOver => Phase::Ready,
+            ClaimDecision::Attach(_) => Phase::Answered(Verdict::Unknown),
         };
         next
     }
@@ -199,7 +199,7 @@
         let mut next = self.answer(state, index, Verdict::Done);
         let answer = Answer { status: 200, media: String::new(), body: String::new() };
         if let Some(row) = &mut next.row {
-            row.state = Progress::Done(answer);
+            row.state = ClaimState::Done(answer);
         }
         next
     }
@@ -241,7 +241,7 @@
             let mut delivered = state.clone();
             let (holder, request) = delivered.inserts.remove(at);
             if delivered.row.is_none() {
-                delivered.row = Some(Claim { holder, request, state: Progress::Claimed });
+                delivered.row = Some(Claim { holder, request, state: ClaimState::Claimed });
             }
             next.push(delivered);
             if state.losses < self.losses {
--- a/crates/budget/tests/model/money.rs
+++ b/crates/budget/tests/model/money.rs
@@ -6,8 +6,8 @@
 //! request at the other router. A top-up arrives, and every batch names all credits again.
 
 use crate::search::{Model, assert_breaks, assert_holds, search};
-use budget::grant::{Grant, Reserve};
-use budget::ledger::{Account, Batch, Charge, Credit, Pool, post, release};
+use budget::grant::{Grant, ReserveOutcome};
+use budget::ledger::{Account, Batch, Charge, Credit, Pool, close_account, post};
 use std::collections::{BTreeMap, BTreeSet};
 
 const BUDGET: &str = "radar/main";
@@ -131,15 +131,15 @@
         next.submitted += 1;
         let router = &mut next.routers[index];
         if self.flaw == Flaw::NoCap {
-            router.grant.raise();
+            router.grant.lift_exposure_limit();
         }
         if router.running.iter().any(|running| running.keyed && keyed) {
             return None;
         }
         let reserved = match router.grant.reserve(WORST) {
-            Reserve::Held => WORST,
+            ReserveOutcome::Reserved => WORST,
             _ if self.flaw == Flaw::NoReservation => 0,
-            Reserve::Short(_) | Reserve::Capped => return None,
+            ReserveOutcome::Insufficient(_) | ReserveOutcome::ExposureExceeded => return None,
         };
         router.running.push(Running { request: state.submitted, reserved, keyed, consumed: false });
         Some(next)
@@ -174,7 +174,7 @@
         let mut next = state.clone();
         let credits = self.credits(state);
         let router = &mut next.routers[index];
-        let entry = router.grant.open(target, need, 0, credits, 4)?;
+        let entry = router.grant.open_entry(target, need, 0, credits, 4)?;
         router.sequence += 1;
         router.batch = Some(Batch {
             sequence: router.sequence,
@@ -202,7 +202,7 @@
         if self.flaw == Flaw::CreditTwice {
             pools.get_mut(BUDGET)?.credits.clear();
         }
-        let charged = |key: &budget::ledger::KeyRef<'_>| {
+        let charged = |key: &budget::ledger::ChargeIdentity<'_>| {
             self.flaw != Flaw::NoKeyCheck
                 && state.charged.get(key.key).is_some_and(|request| request != key.request)
         };
@@ -267,7 +267,7 @@
         let mut next = state.clone();
         let router = &mut next.routers[index];
         router.batch = None;
-        router.grant.close(&account.lines[BUDGET]);
+        router.grant.close_entry(&account.lines[BUDGET]);
         Some(next)
     }
 
@@ -290,7 +290,7 @@
         let mut next = state.clone();
         let account = next.accounts.get_mut(&(index, incarnation)).filter(|account| !account.closed)?;
         let mut pools: BTreeMap<String, Pool> = [(BUDGET.to_owned(), state.pool.clone())].into();
-        release(account, &mut pools).ok()?;
+        close_account(account, &mut pools).ok()?;
         next.pool = pools.remove(BUDGET)?;
         next.pool_version += 1;
         next.releases += 1;
@@ -320,7 +320,7 @@
             return None;
         }
         let before = lender.grant.clone();
-        loan.tokens = Some(lender.grant.give(WORST, 0));
+        loan.tokens = Some(lender.grant.lend(WORST, 0));
         if self.flaw == Flaw::LendWithout {
             lender.grant = before;
         }
@@ -351,7 +351,7 @@
         let mut returning = 0;
         if let Some(batch) = &router.batch {
             if account.sequence >= batch.sequence {
-                grant.close(&account.lines[BUDGET]);
+                grant.close_entry(&account.lines[BUDGET]);
             } else {
                 returning = batch.entries[BUDGET].returned;
             }
--- a/crates/budget/tests/model/notes.rs
+++ b/crates/budget/tests/model/notes.rs
@@ -1,11 +1,11 @@
-//! Notes of use: whoever reads the row never assumes less use than the router was allowed.
+//! UsageNotes of use: whoever reads the row never assumes less use than the router was allowed.
 //!
 //! A router uses tokens within its limit and sends notes. A note may be answered, its answer may be lost, and a
 //! note whose answer did not come may take effect later, also after the router died. The row may be read at any
 //! moment.
 
 use crate::search::{Model, assert_breaks, assert_holds};
-use budget::exposure::{Notes, Schedule};
+use budget::exposure::{Schedule, UsageNotes};
 
 /// The model's step of time, in milliseconds.
 const TICK: u64 = 500;
@@ -16,7 +16,7 @@
     None,
     /// A note whose answer was lost counts as not written.
     ForgetUnsure,
-    /// Notes are written without a condition.
+    /// UsageNotes are written without a condition.
     Unconditional,
     /// A note says that it is younger than it is.
     Postdated,
@@ -37,7 +37,7 @@
     uses_left: u32,
     notes_left: u32,
     dead: bool,
-    notes: Notes,
+    notes: UsageNotes,
     /// The row's version, as the router knows it.
     known: Option<u64>,
     version: u64,
@@ -74,14 +74,14 @@
         }
         if let Some(applied) = state.answer {
             let mut answered = state.clone();
-            answered.notes.end(Some(applied));
+            answered.notes.record_result(Some(applied));
             answered.answer = None;
             answered.known = Some(state.version);
             next.push(answered);
         }
         if is_awaiting {
             let mut lost = state.clone();
-            lost.notes.end(if self.flaw == Flaw::ForgetUnsure { Some(false) } else { None });
+            lost.notes.record_result(if self.flaw == Flaw::ForgetUnsure { Some(false) } else { None });
             lost.answer = None;
             lost.known = None;
             lost.flying.iter_mut().for_each(|note| note.awaited = false);
@@ -105,7 +105,7 @@
         };
         let at = if self.flaw == Flaw::Postdated { state.now + 2 * TICK } else { state.now };
         let mut sent = state.clone();
-        sent.notes.begin(state.now, schedule);
+        sent.notes.record_sent(state.now, schedule);
         sent.notes_left -= 1;
         sent.flying.push(Flying { condition: known, schedule, at, awaited: true });
         sent
@@ -136,7 +136,7 @@
             uses_left: self.uses,
             notes_left: self.notes,
             dead: false,
-            notes: Notes::default(),
+            notes: UsageNotes::default(),
             known: Some(0),
             version: 0,
             row: None,
--- a/crates/budget/tests/outages.rs
+++ b/crates/budget/tests/outages.rs
@@ -7,7 +7,7 @@
 //! counted as used (`released=0 lost=5977905 spent=1761825`). Nobody knows more of a dead process than its last note; so
 //! what a note allows without the store must stay near what callers can really use.
 
-use budget::exposure::{Outlook, Schedule};
+use budget::exposure::{Schedule, ScheduleInput};
 use budget::ledger::Line;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -55,15 +55,15 @@
     let rate = traffic.per_s * traffic.mean;
     let level = rate * PREPAID_S;
     let held = (level * LEFT * AT_HAND) as u64;
-    let outlook = Outlook {
+    let outlook = ScheduleInput {
         used: 0,
         charged: 0,
         waiting: 0,
         available: held,
-        left: (level * LEFT) as u64,
+        unspent: (level * LEFT) as u64,
         owners: 1,
         rate,
-        note_ms: 5,
+        note_latency_ms: 5,
     };
     let schedule = Schedule::plan(&outlook);
     let (mut used, mut outcome) = (0, Outcome::default());
@@ -98,13 +98,13 @@
 
 #[test]
 fn several_owners_of_a_budget_allow_no_more_than_one() {
-    let outlook = |owners: u64| Outlook {
+    let outlook = |owners: u64| ScheduleInput {
         available: 600_000 / owners,
-        left: 800_000,
+        unspent: 800_000,
         owners,
         rate: 10_000.0 / owners as f64,
-        note_ms: 5,
-        ..Outlook::default()
+        note_latency_ms: 5,
+        ..ScheduleInput::default()
     };
     let limit = |owners: u64| owners * Schedule::plan(&outlook(owners)).limit(12_000);
     assert!(limit(5) <= limit(1), "five owners allow {} tokens, one {}", limit(5), limit(1));
@@ -149,13 +149,13 @@
 #[test]
 fn an_earlier_version_never_assumes_less_than_a_note_allows() {
     for rate in [0.0, 700.0, 12_000.0, 180_000.0] {
-        let outlook = Outlook {
+        let outlook = ScheduleInput {
             used: 5_000,
             available: 600_000,
-            left: 800_000,
+            unspent: 800_000,
             rate,
-            note_ms: 5,
-            ..Outlook::default()
+            note_latency_ms: 5,
+            ..ScheduleInput::default()
         };
         let schedule = Schedule::plan(&outlook);
         let as_before = Schedule { first_ms: 0, first_per_s: 0, ..schedule };
--- a/crates/gateway/src/closing.rs
+++ b/crates/gateway/src/closing.rs
@@ -81,7 +81,7 @@
         }
         let mut pools = BTreeMap::from([(team.to_owned(), pool)]);
         let exposed = |_: &str, line: &Line| exposure.exposed(team, name, line);
-        let released = match ledger::release_beyond(&mut account, &mut pools, exposed) {
+        let released = match ledger::close_account_with_exposure(&mut account, &mut pools, exposed) {
             Ok(released) => released.values().sum::<u64>(),
             Err(error) => {
                 log::error!("budget: event=not-closed team={team} account={name} error=\"{error}\"");
--- a/crates/gateway/src/holding.rs
+++ b/crates/gateway/src/holding.rs
@@ -2,9 +2,9 @@
 //! asks for, what the next note allows.
 
 use crate::settle::SETTLE;
-use budget::demand::{Demand, Terms, is_off_target};
-use budget::exposure::{Notes, Outlook, Schedule};
-use budget::grant::{Grant, Reserve};
+use budget::demand::{Demand, HoldingPolicy, is_off_target};
+use budget::exposure::{Schedule, ScheduleInput, UsageNotes};
+use budget::grant::{Grant, ReserveOutcome};
 use budget::ledger::{Account, Batch, Level, Pool};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -101,7 +101,7 @@
     /// Counts the accounts that this process had: another router may close one.
     pub life: u64,
     /// The notes that bind this life.
-    pub notes: Notes,
+    pub notes: UsageNotes,
 }
 
 impl Holding {
@@ -127,7 +127,7 @@
             latest: Latest::default(),
             ticked: started,
             life: 0,
-            notes: Notes::default(),
+            notes: UsageNotes::default(),
         }
     }
 
@@ -153,7 +153,7 @@
 
     /// Reserves tokens, if they are at hand and within what was noted.
     pub(crate) fn reserve(&mut self, tokens: u64) -> bool {
-        !self.is_noted_short(tokens) && self.grant.reserve(tokens) == Reserve::Held
+        !self.is_noted_short(tokens) && self.grant.reserve(tokens) == ReserveOutcome::Reserved
     }
 
     /// Whether the notes leave no room for so many tokens.
@@ -173,32 +173,32 @@
 
     /// The schedule for the next note, which takes about `note_ms` to be acknowledged, where so many gateways own the budget.
     pub(crate) fn schedule(&self, note_ms: u64, owners: u64) -> Schedule {
-        Schedule::plan(&Outlook {
+        Schedule::plan(&ScheduleInput {
             used: self.grant.used(),
             charged: self.grant.charged(),
             waiting: self.waiting,
             available: self.grant.available(),
-            left: self.left(),
+            unspent: self.left(),
             owners,
             rate: self.demand.rate().max(self.growth.rate()),
-            note_ms,
+            note_latency_ms: note_ms,
         })
     }
 
     /// Takes what was used in the last `elapsed_ms` milliseconds into the averages.
     fn tick(&mut self, elapsed_ms: u64) {
         let used = self.grant.used();
-        self.growth.consume(used.saturating_sub(self.grown));
+        self.growth.record_consumption(used.saturating_sub(self.grown));
         self.grown = self.grown.max(used);
-        self.growth.tick(elapsed_ms);
-        self.demand.tick(elapsed_ms);
+        self.growth.update_rate(elapsed_ms);
+        self.demand.update_rate(elapsed_ms);
         self.ticked = Instant::now();
     }
 
     /// Why tokens can't be had, if the latest settlement showed that.
     pub(crate) fn denied(&self, tokens: u64) -> Option<Denied> {
         let latest = &self.latest;
-        if !latest.settled || latest.free + self.grant.available() + self.grant.returning() >= tokens {
+        if !latest.settled || latest.free + self.grant.available() + self.grant.pending_return() >= tokens {
             return None;
         }
         let idle = (self.level.tokens as f64 * IDLE_ELSEWHERE) as u64;
@@ -211,7 +211,7 @@
     /// outage of the store, but none of a budget that is nearly spent, where every token must be reachable from
     /// everywhere. One that does not own the budget holds only what its own requests used lately: it drew while the
     /// owner did not answer.
-    fn target(&self, now: u64, team: &str, terms: &Terms, owners: u64) -> u64 {
+    fn target(&self, now: u64, team: &str, terms: &HoldingPolicy, owners: u64) -> u64 {
         let left = self.left() as f64;
         if left < self.level.tokens as f64 * SCARCE {
             return 0;
@@ -264,7 +264,7 @@
         if elapsed >= SETTLE / 2 {
             self.tick(elapsed.as_millis() as u64);
         }
-        let terms = Terms { cover_s: COVER_S, least: 0, expose_s: COVER_S };
+        let terms = HoldingPolicy { cover_s: COVER_S, min_tokens: 0, expose_s: COVER_S };
         let target = match self.target(now, team, &terms, owners) {
             _ if closing || self.lowered => 0,
             target => match self.recalled {
@@ -279,14 +279,14 @@
         let level_is_new = self.rows.pool.level.is_none_or(|known| known.version < self.level.version)
             && self.rows.pool.level.is_none_or(|known| known.tokens != self.level.tokens);
         let is_overdue = closing || now.saturating_sub(self.latest.began) >= self.record_ms;
-        let is_due = need > 0 || off || level_is_new || (is_overdue && self.grant.is_dirty());
+        let is_due = need > 0 || off || level_is_new || (is_overdue && self.grant.has_unsettled_changes());
         if !is_due {
             return None;
         }
         self.lowered = false;
         self.recalled = None;
         let spare = target.max(self.grant.available());
-        let entry = self.grant.open(target, need, spare, vec![], CHARGES)?;
+        let entry = self.grant.open_entry(target, need, spare, vec![], CHARGES)?;
         let sequence = self.rows.account.sequence + 1;
         let batch =
             Batch { sequence, entries: BTreeMap::from([(team.to_owned(), entry)]), ..Batch::default() };
@@ -298,13 +298,13 @@
     pub(crate) fn close_batch(&mut self, team: &str) {
         self.batch = None;
         let line = self.rows.account.lines.get(team).copied().unwrap_or_default();
-        self.grant.close(&line);
+        self.grant.close_entry(&line);
     }
 
     /// Starts an account anew after another router closed this one: what it exposed stays spent.
     pub(crate) fn start_over(&mut self) {
         self.life += 1;
-        self.notes = Notes::default();
+        self.notes = UsageNotes::default();
         self.grant = Grant::default();
         self.grown = 0;
         self.batch = None;
--- a/crates/gateway/src/purse.rs
+++ b/crates/gateway/src/purse.rs
@@ -144,7 +144,7 @@
         let now = self.now();
         let begun = {
             let mut state = self.lock();
-            state.demand.ask(now);
+            state.demand.record_request(now);
             if state.reserve(tokens) {
                 return Ok(Reservation::here(self, state.life, tokens));
             }
@@ -396,7 +396,7 @@
             return;
         }
         let charge = Charge { request: request.to_owned(), key: None, tokens };
-        state.demand.consume(tokens);
+        state.demand.record_consumption(tokens);
         state.grant.charge(reserved, charge);
     }
 }
@@ -420,7 +420,7 @@
         let mut state = self.lock();
         let schedule = state.schedule(note_ms, owners);
         let now = state.now();
-        state.notes.begin(now, schedule);
+        state.notes.record_sent(now, schedule);
         (state.life, schedule)
     }
 
@@ -431,7 +431,7 @@
         if state.life != life {
             return;
         }
-        state.notes.end(took_effect);
+        state.notes.record_result(took_effect);
         drop(state);
         self.changed.notify(usize::MAX);
     }
--- a/crates/gateway/tests/unit/notes.rs
+++ b/crates/gateway/tests/unit/notes.rs
@@ -62,7 +62,7 @@
         let (desk, branch) = (pool(&rows, "desk"), pool(&rows, "branch"));
         assert!(desk.free <= 9_000 && desk.free > 7_500, "desk has {} free", desk.free);
         assert!(branch.free <= 80_000 && branch.free > 60_000, "branch has {} free", branch.free);
-        assert!(desk.balance() && branch.balance());
+        assert!(desk.is_balanced() && branch.is_balanced());
     });
 }
 
--- a/crates/gateway/tests/unit/settle.rs
+++ b/crates/gateway/tests/unit/settle.rs
@@ -55,7 +55,7 @@
         assert_matches!(first, Err(Denied::Away));
         rows.set_fault(RowsFault::None);
         purse.reserve(4_000, PATIENCE).await.expect("tokens").charge("r-1", 3_000);
-        until(&rows, "the charge is settled", |pool| pool.spent == 3_000 && pool.balance()).await;
+        until(&rows, "the charge is settled", |pool| pool.spent == 3_000 && pool.is_balanced()).await;
     });
 }
 
@@ -73,7 +73,7 @@
         held.charge("r-1", 4_000);
         until(&rows, "the charge is settled", |pool| pool.spent == 4_000).await;
         let pool = pool(&rows);
-        assert!(pool.balance() && pool.spent + pool.outstanding <= 10_000, "{pool:?}");
+        assert!(pool.is_balanced() && pool.spent + pool.outstanding <= 10_000, "{pool:?}");
     });
 }
 
--- a/crates/harness/src/audit.rs
+++ b/crates/harness/src/audit.rs
@@ -48,7 +48,7 @@
                 outstanding: pool.outstanding,
                 free: pool.free,
                 accounts_agree,
-                balanced: pool.balance(),
+                balanced: pool.is_balanced(),
             };
             (budget, audit)
         })
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -12,7 +12,7 @@
 use crate::refusal::{Execution, Refusal};
 use crate::settings::millis;
 use crate::sync::identity_key;
-use budget::claim::{Answer, Claim, Next, State, decide};
+use budget::claim::{Answer, Claim, ClaimDecision, ClaimState, decide};
 use http::request::Parts;
 use http::{Response, StatusCode};
 use hyper::body::Bytes;
@@ -41,7 +41,8 @@
 /// Claims a request, or finds who did.
 async fn claim<W: Ports>(node: &Node<W>, budget: &str, key: &str, request: &str) -> Result<Claimed, Refusal> {
     let row_key = identity_key("claim", budget, key);
-    let claim = Claim { holder: node.holder.clone(), request: request.to_owned(), state: State::Claimed };
+    let claim =
+        Claim { holder: node.holder.clone(), request: request.to_owned(), state: ClaimState::Claimed };
     let deadline = node.clock.now() + CLAIM_MS;
     let mut reason = String::new();
     // Until the claim is known to be absent, an earlier attempt under this key may have run elsewhere (I4).
@@ -51,10 +52,10 @@
             Ok(row) => {
                 let read: Option<Claim> = row.as_ref().and_then(|row| row.decode().ok());
                 match decide(read.as_ref(), &node.holder, request) {
-                    Next::Dispatch => return Ok(Claimed::Ours),
-                    Next::Replay(answer) => return Ok(Claimed::Before(answer)),
-                    Next::Attach(claim) => return Ok(Claimed::By(claim)),
-                    Next::Insert => execution = Execution::NotRun,
+                    ClaimDecision::Dispatch => return Ok(Claimed::Ours),
+                    ClaimDecision::Replay(answer) => return Ok(Claimed::Before(answer)),
+                    ClaimDecision::Attach(claim) => return Ok(Claimed::By(claim)),
+                    ClaimDecision::Insert => execution = Execution::NotRun,
                 }
                 let tx = Tx::default().absent(&row_key).put(&row_key, &claim);
                 match node.platform.commit(&tx).await {
@@ -88,11 +89,11 @@
 async fn finish<W: Ports>(node: &Node<W>, budget: &str, key: &str, request: &str, answer: Answer) {
     let row_key = identity_key("claim", budget, key);
     let claim =
-        Claim { holder: node.holder.clone(), request: request.to_owned(), state: State::Done(answer) };
+        Claim { holder: node.holder.clone(), request: request.to_owned(), state: ClaimState::Done(answer) };
     for attempt in 0..RECORD_ATTEMPTS {
         if let Ok(row) = read(node, &row_key).await {
             let known: Option<Claim> = row.as_ref().and_then(|row| row.decode().ok());
-            if known.is_some_and(|known| matches!(known.state, State::Done(_))) {
+            if known.is_some_and(|known| matches!(known.state, ClaimState::Done(_))) {
                 return;
             }
             let tx = Tx::default().unchanged(&row_key, row.as_ref()).put(&row_key, &claim);
--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -1,7 +1,7 @@
 //! This router's grants: reservations, charges and loans, in shards under their own locks.
 
-use budget::demand::{Demand, Terms, is_off_target};
-use budget::grant::{Grant, Reserve};
+use budget::demand::{Demand, HoldingPolicy, is_off_target};
+use budget::grant::{Grant, ReserveOutcome};
 use budget::ledger::{Charge, Credit, Entry, Line, Pool};
 use bundle::{Bundle, Weighing};
 use event_listener::{Event, EventListener};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Agreed {
     credits: Vec<Credit>,
-    terms: Terms,
+    terms: HoldingPolicy,
 }
 
 /// Which error weighs more for `budget`.
@@ -40,9 +40,9 @@
     let (team, name) = budget.split_once('/')?;
     let content = bundle.teams.get(team)?.budgets.get(name)?;
     let limits = &bundle.limits;
-    let terms = Terms {
+    let terms = HoldingPolicy {
         cover_s: limits.cover_s(content.weighing),
-        least: limits.grant_min,
+        min_tokens: limits.grant_min,
         expose_s: limits.expose_s(content.weighing),
     };
     Some(Agreed { credits: content.credits.clone(), terms })
@@ -133,14 +133,14 @@
     /// Reserves the worst case of a request (I6), or notes what is missing.
     pub(crate) fn reserve(&self, budget: &str, tokens: u64, now: u64) -> Result<(), Shortage> {
         self.with(budget, |slot| {
-            slot.demand.ask(now);
+            slot.demand.record_request(now);
             match slot.grant.reserve(tokens) {
-                Reserve::Held => Ok(()),
-                Reserve::Short(missing) => {
+                ReserveOutcome::Reserved => Ok(()),
+                ReserveOutcome::Insufficient(missing) => {
                     slot.need = slot.need.max(missing);
                     Err(Shortage { missing, changed: slot.changed.listen() })
                 }
-                Reserve::Capped => {
+                ReserveOutcome::ExposureExceeded => {
                     slot.capped = slot.capped.max(tokens);
                     Err(Shortage { missing: 0, changed: slot.changed.listen() })
                 }
@@ -159,7 +159,7 @@
     /// Charges a reservation; returns the tokens above it that were cut off.
     pub(crate) fn charge(&self, budget: &str, reserved: u64, charge: Charge) -> u64 {
         self.with(budget, |slot| {
-            slot.demand.consume(charge.tokens);
+            slot.demand.record_consumption(charge.tokens);
             let excess = slot.grant.charge(reserved, charge);
             slot.changed.notify(usize::MAX);
             excess
@@ -168,13 +168,13 @@
 
     /// Keeps the reservation of a run whose end is not known.
     pub(crate) fn lose(&self, budget: &str, reserved: u64) {
-        self.with(budget, |slot| slot.grant.lose(reserved));
+        self.with(budget, |slot| slot.grant.hold_unknown(reserved));
     }
 
     /// Ends a reservation whose run consumed `tokens` for an answer that nobody got.
     pub(crate) fn waste(&self, budget: &str, reserved: u64, tokens: u64) {
         self.with(budget, |slot| {
-            slot.grant.waste(reserved, tokens);
+            slot.grant.write_off(reserved, tokens);
             slot.changed.notify(usize::MAX);
         });
     }
@@ -182,12 +182,12 @@
     /// Ends a lost run once it is known that it consumed `tokens`: charged by `bill`, or wasted.
     pub(crate) fn find(&self, budget: &str, reserved: u64, tokens: u64, bill: Option<Charge>) {
         self.with(budget, |slot| {
-            slot.grant.find(reserved);
+            slot.grant.reclaim_unknown(reserved);
             match bill {
                 Some(charge) => {
                     slot.grant.charge(reserved, charge);
                 }
-                None => slot.grant.waste(reserved, tokens),
+                None => slot.grant.write_off(reserved, tokens),
             }
             slot.changed.notify(usize::MAX);
         });
@@ -227,9 +227,9 @@
     pub(crate) fn is_short(&self, now: u64) -> bool {
         let is_short = |slot: &Slot| {
             let empty = slot.pool.as_ref().is_some_and(|pool| pool.free == 0);
-            let capped = slot.capped > 0 && !slot.grant.is_open();
+            let capped = slot.capped > 0 && !slot.grant.has_open_entry();
             let known_empty = empty && now.saturating_sub(slot.settled_at) < EMPTY_MS;
-            capped || (slot.need > 0 && !slot.grant.is_open() && !known_empty)
+            capped || (slot.need > 0 && !slot.grant.has_open_entry() && !known_empty)
         };
         self.shards.iter().any(|shard| shard.lock().expect("the grants' lock").values().any(is_short))
     }
@@ -264,7 +264,7 @@
     /// Closes the entries of a batch that took effect.
     pub(crate) fn close(&self, budget: &str, line: &Line, pool: Option<&Pool>, now: u64) {
         self.with(budget, |slot| {
-            slot.grant.close(line);
+            slot.grant.close_entry(line);
             if let Some(pool) = pool {
                 slot.pool = Some(Pool { credits: BTreeMap::new(), ..pool.clone() });
             }
@@ -277,7 +277,7 @@
     /// Lifts the bound on what may be used of a budget until the next settlement.
     pub(crate) fn raise(&self, budget: &str) {
         self.with(budget, |slot| {
-            slot.grant.raise();
+            slot.grant.lift_exposure_limit();
             slot.changed.notify(usize::MAX);
         });
     }
@@ -292,7 +292,7 @@
         let yields = id < self.holder.as_str();
         let given = self.with(budget, |slot| match slot.need > 0 && !yields {
             true => 0,
-            false => slot.grant.give(tokens, 0),
+            false => slot.grant.lend(tokens, 0),
         });
         loans.given.insert(id.to_owned(), given);
         loans.order.push_back(id.to_owned());
@@ -341,18 +341,18 @@
 }
 
 fn open_slot(bundle: &Bundle, budget: &str, slot: &mut Slot, pace: Pace, room: usize) -> Option<Entry> {
-    if slot.grant.is_open() {
+    if slot.grant.has_open_entry() {
         return None;
     }
     let Agreed { credits, terms } = agreed(bundle, budget).unwrap_or_default();
-    slot.demand.tick(pace.elapsed_ms);
+    slot.demand.update_rate(pace.elapsed_ms);
     let target = if pace.close { 0 } else { slot.demand.target(pace.now, &terms) };
     let need = std::mem::take(&mut slot.need);
     let pool_free = slot.pool.as_ref().map(|pool| pool.free);
     let off_target = is_off_target(slot.grant.available(), target, pool_free);
     let capped = std::mem::take(&mut slot.capped);
-    if need == 0 && capped == 0 && !slot.grant.is_dirty() && !off_target {
+    if need == 0 && capped == 0 && !slot.grant.has_unsettled_changes() && !off_target {
         return None;
     }
-    slot.grant.open(target, need, slot.demand.spare(&terms) + capped, credits, room)
+    slot.grant.open_entry(target, need, slot.demand.exposure_headroom(&terms) + capped, credits, room)
 }
--- a/crates/router/src/keep.rs
+++ b/crates/router/src/keep.rs
@@ -2,7 +2,7 @@
 //!
 //! Each router names a keeper in its account row: a peer that may close the account. Closing gives back what
 //! the router can't have used, in one transaction; what it exposed stays outstanding. That is safe even if the
-//! router lives on, since it never uses more than it exposed (see [`budget::ledger::release`]).
+//! router lives on, since it never uses more than it exposed (see [`budget::ledger::close_account`]).
 //!
 //! While the platform is away a router can't expose more. It asks its keeper for the promise never to close
 //! the account; then it may use all it holds.
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::sync::{account_key, pool_key};
-use budget::ledger::{Account, Pool, release};
+use budget::ledger::{Account, Pool, close_account};
 use peer::{LinkClient, State as Life};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -190,7 +190,7 @@
         let pool = row.as_ref().map(store::Row::decode::<Pool>).transpose();
         pools.insert(budget.clone(), pool.map_err(|error| error.to_string())?.unwrap_or_default());
     }
-    let released = release(&mut account, &mut pools).map_err(|error| error.to_string())?;
+    let released = close_account(&mut account, &mut pools).map_err(|error| error.to_string())?;
     let mut tx = Tx::default().unchanged(&key, Some(&row)).put(&key, &account);
     for (budget, row) in budgets.iter().zip(&rows) {
         let key = pool_key(budget);
--- a/crates/router/src/sync.rs
+++ b/crates/router/src/sync.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::settings::millis;
-use budget::ledger::{Account, Batch, Error as PostError, KeyRef, Pool, post};
+use budget::ledger::{Account, Batch, ChargeIdentity, Error as PostError, Pool, post};
 use net::exec;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -146,7 +146,7 @@
             Err(error) => return Attempt::Failed(error),
         };
     }
-    let charged = |identity: &KeyRef<'_>| {
+    let charged = |identity: &ChargeIdentity<'_>| {
         let key = identity_key("charge", identity.budget, identity.key);
         let row = read.get(key.as_str()).and_then(|row| row.decode::<Charged>().ok());
         row.is_some_and(|row| row.request != identity.request)
@@ -154,7 +154,7 @@
     match post(&mut account, &mut pools, &charged, batch, node.fleet_size()) {
         Ok(()) => {}
         // An earlier attempt took effect and its answer was lost.
-        Err(PostError::Posted(_)) => return Attempt::Posted(account, pools),
+        Err(PostError::AlreadyPosted(_)) => return Attempt::Posted(account, pools),
         Err(error) => return Attempt::Failed(refused(error.to_string())),
     }
 
--- a/examples/bench/budgets.rs
+++ b/examples/bench/budgets.rs
@@ -1,8 +1,8 @@
 //! The budget decisions against baselines, in virtual time: overspend, false refusals, platform writes and
 //! tokens stranded by a lost VM. The router's own decision code runs here against small fakes.
 
-use budget::demand::{Demand, Terms, is_off_target};
-use budget::grant::{Grant, Reserve};
+use budget::demand::{Demand, HoldingPolicy, is_off_target};
+use budget::grant::{Grant, ReserveOutcome};
 use budget::ledger::{Account, Batch, Charge, Credit, Pool, post};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -111,7 +111,7 @@
     policy: Policy,
     scene: Scene,
     refusals_weigh_more: bool,
-    terms: Terms,
+    terms: HoldingPolicy,
     now: u64,
     nodes: Vec<Node>,
     pools: BTreeMap<String, Pool>,
@@ -157,36 +157,36 @@
             self.result.writes += 1;
             return self.left() >= class.0;
         }
-        self.nodes[router].demand.ask(self.now);
+        self.nodes[router].demand.record_request(self.now);
         match self.nodes[router].grant.reserve(class.0) {
-            Reserve::Held => return true,
-            Reserve::Short(missing) => {
+            ReserveOutcome::Reserved => return true,
+            ReserveOutcome::Insufficient(missing) => {
                 let node = &mut self.nodes[router];
                 node.need = node.need.max(missing);
             }
-            Reserve::Capped => self.nodes[router].capped = class.0,
+            ReserveOutcome::ExposureExceeded => self.nodes[router].capped = class.0,
         }
         self.sync(router);
-        if self.nodes[router].grant.reserve(class.0) == Reserve::Held {
+        if self.nodes[router].grant.reserve(class.0) == ReserveOutcome::Reserved {
             return true;
         }
         if self.policy == Policy::Tallypaddle {
             // Its keeper is its neighbour; while it can be reached it lifts the bound. Alone, the weighing decides.
             let keeper_answers = self.reaches_peer(router, (router + 1) % ROUTERS);
             if self.nodes[router].capped > 0 && (keeper_answers || self.refusals_weigh_more) {
-                self.nodes[router].grant.raise();
+                self.nodes[router].grant.lift_exposure_limit();
                 self.nodes[router].capped = 0;
             }
             self.borrow(router, class.0.saturating_sub(self.nodes[router].grant.available()));
         }
-        self.nodes[router].grant.reserve(class.0) == Reserve::Held
+        self.nodes[router].grant.reserve(class.0) == ReserveOutcome::Reserved
     }
 
     fn borrow(&mut self, router: usize, missing: u64) {
         let mut missing = missing;
         for peer in (0..ROUTERS).filter(|peer| *peer != router) {
             if self.reaches_peer(router, peer) && (self.nodes[peer].need == 0 || router < peer) {
-                let given = self.nodes[peer].grant.give(missing, 0);
+                let given = self.nodes[peer].grant.lend(missing, 0);
                 self.nodes[router].grant.receive(given);
                 missing -= given;
             }
@@ -201,15 +201,15 @@
         if !reaches || known_empty || now < node.synced + SPACING_MS {
             return;
         }
-        node.demand.tick(now - node.synced);
+        node.demand.update_rate(now - node.synced);
         let target = node.demand.target(now, &self.terms);
         let off_target = is_off_target(node.grant.available(), target, node.free);
-        if node.need == 0 && node.capped == 0 && !node.grant.is_dirty() && !off_target {
+        if node.need == 0 && node.capped == 0 && !node.grant.has_unsettled_changes() && !off_target {
             return;
         }
         let need = std::mem::take(&mut node.need);
-        let spare = node.demand.spare(&self.terms) + std::mem::take(&mut node.capped);
-        let Some(entry) = node.grant.open(target, need, spare, self.credits.clone(), usize::MAX) else {
+        let spare = node.demand.exposure_headroom(&self.terms) + std::mem::take(&mut node.capped);
+        let Some(entry) = node.grant.open_entry(target, need, spare, self.credits.clone(), usize::MAX) else {
             return;
         };
         node.sequence += 1;
@@ -217,7 +217,7 @@
         let batch = Batch { sequence: node.sequence, entries, keeper: String::new() };
         post(&mut node.account, &mut self.pools, &|_| false, &batch, ROUTERS as u64)
             .expect("a batch in order");
-        node.grant.close(&node.account.lines[BUDGET]);
+        node.grant.close_entry(&node.account.lines[BUDGET]);
         node.free = self.pools.get(BUDGET).map(|pool| pool.free);
         node.synced = now;
         self.result.writes += 1;
@@ -235,7 +235,7 @@
                 continue;
             }
             let node = &mut self.nodes[router];
-            node.demand.consume(class.1);
+            node.demand.record_consumption(class.1);
             node.grant.charge(class.0, Charge { request: String::new(), key: None, tokens: class.1 });
         }
     }
@@ -274,7 +274,9 @@
     fn stranded(&self, node: &Node) -> u64 {
         let total = node.grant.total();
         match (self.policy, node.account.lines.get(BUDGET)) {
-            (Policy::Tallypaddle, Some(line)) if !node.grant.is_raised() => total.min(line.exposed),
+            (Policy::Tallypaddle, Some(line)) if !node.grant.is_exposure_limit_lifted() => {
+                total.min(line.exposed)
+            }
             _ => total,
         }
     }
@@ -298,7 +300,7 @@
         policy,
         scene,
         refusals_weigh_more: mix.refusals_weigh_more,
-        terms: Terms { cover_s: mix.cover_s, least: LEAST, expose_s: mix.expose_s },
+        terms: HoldingPolicy { cover_s: mix.cover_s, min_tokens: LEAST, expose_s: mix.expose_s },
         now: 0,
         nodes: vec![Node::default(); ROUTERS],
         pools: BTreeMap::new(),
