--- a/crates/budget/tests/model/claims.rs
+++ b/crates/budget/tests/model/claims.rs
@@ -1,48 +1,50 @@
 //! Claims of requests that must not be repeated (I3, I4).
 //!
-//! A caller sends the same key to both routers. Inserting the claim may take effect late, or with its answer
-//! lost. A router may be frozen for any time at any step and goes on unaware; it may crash and come back as a
-//! new incarnation. A dispatch may reach the engine late. An engine that says it never saw a run refuses it
-//! from then on.
+//! A caller sends the same key to both routers. The insertion of a claim may take effect late, and its answer
+//! may be lost. A router may be paused at any step for any time and resumes without noticing, or it may crash
+//! and restart as a new incarnation. A dispatch may reach the engine late. Once an engine has reported that
+//! it never saw a run, it refuses that run.
 
-use crate::search::{Model, assert_breaks, assert_holds};
+use crate::search::{Model, assert_holds, assert_violates};
 use budget::claim::{Answer, Claim, ClaimDecision, ClaimState, decide};
 
 const ROUTERS: usize = 2;
 
-/// A deliberate mistake.
+/// A bug injected into the protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Flaw {
+enum Bug {
     None,
-    /// A claim whose holder seems gone is taken over.
-    TakeOver,
-    /// A claim whose answer was lost counts as one's own without reading back.
-    TrustLost,
+    /// A claim whose holder appears to be gone is taken over.
+    ClaimTakenOver,
+    /// After the answer to an insertion was lost, the claim is assumed to be the router's own without reading
+    /// it back.
+    LostInsertTrusted,
     /// A failed dispatch is reported as "not run" without asking the engine.
-    HastyNotRun,
+    UnverifiedNotRun,
     /// A failed dispatch is repeated without asking the engine.
-    HastyRetry,
+    UnverifiedRetry,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Phase {
     Idle,
-    /// It will insert the claim.
+    /// It is about to insert the claim.
     Inserting,
-    /// The insert was sent; its answer has not come.
+    /// It has sent the insertion and has no answer yet.
     Waiting,
-    /// It will dispatch: what it knows is never looked at again, however long it is frozen here.
+    /// It is about to dispatch the request. It does not check the claim again, however long it is paused
+    /// here.
     Ready,
-    /// The dispatch is on its way or the engine runs it.
+    /// The dispatch is in flight, or the engine runs it.
     Dispatched,
     /// The dispatch failed with an unknown outcome.
     Failed,
-    /// The caller has its answer.
-    Answered(Verdict),
+    /// The caller was answered.
+    Answered(Outcome),
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Verdict {
+enum Outcome {
     Done,
     NotRun,
     Unknown,
@@ -53,13 +55,14 @@
     incarnation: u8,
     phase: Phase,
     request: u8,
-    /// Runs so far, and those before the present request.
+    /// The number of dispatches so far.
     runs: u8,
-    earlier: u8,
+    /// The number of dispatches before the current request.
+    earlier_runs: u8,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-struct Flying {
+struct Dispatch {
     router: usize,
     incarnation: u8,
     run: u8,
@@ -70,19 +73,21 @@
     row: Option<Claim>,
     inserts: Vec<(String, String)>,
     routers: Vec<Router>,
-    dispatches: Vec<Flying>,
-    /// Runs that the engine started, and those that it will refuse.
-    started: Vec<Flying>,
-    refused: Vec<Flying>,
-    /// Requests whose caller was told "not run": router, incarnation, and the runs between which they had theirs.
-    told_not_run: Vec<(usize, u8, u8, u8)>,
+    dispatches: Vec<Dispatch>,
+    /// Runs that the engine started.
+    started: Vec<Dispatch>,
+    /// Runs that the engine refuses.
+    refused: Vec<Dispatch>,
+    /// Requests that were reported as "not run": router, incarnation, and the router's number of runs before
+    /// the request and after it.
+    reported_not_run: Vec<(usize, u8, u8, u8)>,
     requests: u8,
     crashes: u8,
     losses: u8,
 }
 
 struct Claims {
-    flaw: Flaw,
+    bug: Bug,
     requests: u8,
     crashes: u8,
     losses: u8,
@@ -104,9 +109,9 @@
         router.phase = match decide(state.row.as_ref(), &me, &request(router)) {
             ClaimDecision::Insert => Phase::Inserting,
             ClaimDecision::Dispatch => Phase::Ready,
-            ClaimDecision::Replay(_) => Phase::Answered(Verdict::Done),
-            ClaimDecision::Attach(_) if self.flaw == Flaw::TakeOver => Phase::Ready,
-            ClaimDecision::Attach(_) => Phase::Answered(Verdict::Unknown),
+            ClaimDecision::Replay(_) => Phase::Answered(Outcome::Done),
+            ClaimDecision::Attach(_) if self.bug == Bug::ClaimTakenOver => Phase::Ready,
+            ClaimDecision::Attach(_) => Phase::Answered(Outcome::Unknown),
         };
         next
     }
@@ -124,7 +129,7 @@
                     let mut asked = state.clone();
                     asked.requests += 1;
                     asked.routers[index].request = asked.requests;
-                    asked.routers[index].earlier = router.runs;
+                    asked.routers[index].earlier_runs = router.runs;
                     next.push(self.read(&asked, index));
                 }
             }
@@ -133,25 +138,26 @@
                 sent.inserts.push((holder(index, router), request(router)));
                 next.push(sent);
             }
-            // The answer is lost or late: it reads back, and inserts again if nothing is there.
+            // If the answer is lost or late, it reads the row back, and inserts the claim again if there is
+            // none.
             Phase::Waiting => {
                 if state.inserts.len() < 3 {
                     next.push(self.read(state, index));
                 }
-                if self.flaw == Flaw::TrustLost {
+                if self.bug == Bug::LostInsertTrusted {
                     next.push(set(Phase::Ready));
                 }
-                next.push(self.answer(state, index, Verdict::NotRun));
+                next.push(self.answer(state, index, Outcome::NotRun));
             }
             Phase::Ready => {
                 let mut sent = set(Phase::Dispatched);
                 sent.routers[index].runs += 1;
                 let run = sent.routers[index].runs;
-                sent.dispatches.push(Flying { router: index, incarnation: router.incarnation, run });
+                sent.dispatches.push(Dispatch { router: index, incarnation: router.incarnation, run });
                 next.push(sent);
             }
             Phase::Dispatched => {
-                let run = Flying { router: index, incarnation: router.incarnation, run: router.runs };
+                let run = Dispatch { router: index, incarnation: router.incarnation, run: router.runs };
                 if state.started.contains(&run) {
                     next.push(self.finish(state, index));
                 }
@@ -161,11 +167,12 @@
         }
     }
 
-    /// Asks the engine what became of the run; only its word that it never will run allows another.
+    /// Asks the engine for the outcome of the run. Only if the engine refuses the run may the request be
+    /// dispatched again.
     fn after_failure(&self, state: &State, index: usize, next: &mut Vec<State>) {
         let router = &state.routers[index];
-        let run = Flying { router: index, incarnation: router.incarnation, run: router.runs };
-        next.push(self.answer(state, index, Verdict::Unknown));
+        let run = Dispatch { router: index, incarnation: router.incarnation, run: router.runs };
+        next.push(self.answer(state, index, Outcome::Unknown));
         if state.started.contains(&run) {
             next.push(self.finish(state, index));
         } else if router.runs < 2 {
@@ -173,30 +180,30 @@
             refused.refused.push(run);
             refused.routers[index].phase = Phase::Ready;
             next.push(refused.clone());
-            next.push(self.answer(&refused, index, Verdict::NotRun));
+            next.push(self.answer(&refused, index, Outcome::NotRun));
         }
-        if self.flaw == Flaw::HastyNotRun {
-            next.push(self.answer(state, index, Verdict::NotRun));
+        if self.bug == Bug::UnverifiedNotRun {
+            next.push(self.answer(state, index, Outcome::NotRun));
         }
-        if self.flaw == Flaw::HastyRetry && router.runs < 2 {
+        if self.bug == Bug::UnverifiedRetry && router.runs < 2 {
             let mut again = state.clone();
             again.routers[index].phase = Phase::Ready;
             next.push(again);
         }
     }
 
-    fn answer(&self, state: &State, index: usize, verdict: Verdict) -> State {
+    fn answer(&self, state: &State, index: usize, outcome: Outcome) -> State {
         let mut next = state.clone();
         let router = &mut next.routers[index];
-        router.phase = Phase::Answered(verdict);
-        if verdict == Verdict::NotRun {
-            next.told_not_run.push((index, router.incarnation, router.earlier, router.runs));
+        router.phase = Phase::Answered(outcome);
+        if outcome == Outcome::NotRun {
+            next.reported_not_run.push((index, router.incarnation, router.earlier_runs, router.runs));
         }
         next
     }
 
     fn finish(&self, state: &State, index: usize) -> State {
-        let mut next = self.answer(state, index, Verdict::Done);
+        let mut next = self.answer(state, index, Outcome::Done);
         let answer = Answer { status: 200, media: String::new(), body: String::new() };
         if let Some(row) = &mut next.row {
             row.state = ClaimState::Done(answer);
@@ -209,7 +216,7 @@
     type State = State;
 
     fn start(&self) -> State {
-        let router = Router { incarnation: 0, phase: Phase::Idle, request: 0, runs: 0, earlier: 0 };
+        let router = Router { incarnation: 0, phase: Phase::Idle, request: 0, runs: 0, earlier_runs: 0 };
         State {
             row: None,
             inserts: vec![],
@@ -217,7 +224,7 @@
             dispatches: vec![],
             started: vec![],
             refused: vec![],
-            told_not_run: vec![],
+            reported_not_run: vec![],
             requests: 0,
             crashes: 0,
             losses: 0,
@@ -233,7 +240,7 @@
                 crashed.crashes += 1;
                 let incarnation = crashed.routers[index].incarnation + 1;
                 crashed.routers[index] =
-                    Router { incarnation, phase: Phase::Idle, request: 0, runs: 0, earlier: 0 };
+                    Router { incarnation, phase: Phase::Idle, request: 0, runs: 0, earlier_runs: 0 };
                 next.push(crashed);
             }
         }
@@ -262,15 +269,14 @@
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        let ran = |router: usize, incarnation: u8, earlier: u8, runs: u8| {
-            let own = |run: &&Flying| run.router == router && run.incarnation == incarnation;
-            state.started.iter().filter(own).any(|run| run.run > earlier && run.run <= runs)
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        let ran = |router: usize, incarnation: u8, earlier_runs: u8, runs: u8| {
+            let own = |run: &&Dispatch| run.router == router && run.incarnation == incarnation;
+            state.started.iter().filter(own).any(|run| run.run > earlier_runs && run.run <= runs)
         };
-        let not_run = state
-            .told_not_run
-            .iter()
-            .any(|(router, incarnation, earlier, runs)| ran(*router, *incarnation, *earlier, *runs));
+        let not_run = state.reported_not_run.iter().any(|(router, incarnation, earlier_runs, runs)| {
+            ran(*router, *incarnation, *earlier_runs, *runs)
+        });
         if not_run {
             Some("I4")
         } else if state.started.len() > 1 {
@@ -282,36 +288,36 @@
 }
 
 #[test]
-fn claims_are_safe() {
-    let model = Claims { flaw: Flaw::None, requests: 3, crashes: 1, losses: 1 };
+fn invariants_hold() {
+    let model = Claims { bug: Bug::None, requests: 3, crashes: 1, losses: 1 };
     let states = assert_holds(&model);
     println!("claims: {states} states with 3 requests, 1 crash, 1 loss");
-    assert!(states > 10_000, "the bounds leave only {states} states");
+    assert!(states > 10_000, "only {states} states are reachable within the bounds");
 }
 
 #[test]
 #[ignore = "takes minutes; run with --ignored"]
-fn claims_are_safe_in_larger_bounds() {
-    let model = Claims { flaw: Flaw::None, requests: 4, crashes: 2, losses: 2 };
+fn invariants_hold_in_larger_bounds() {
+    let model = Claims { bug: Bug::None, requests: 4, crashes: 2, losses: 2 };
     println!("claims: {} states with 4 requests, 2 crashes, 2 losses", assert_holds(&model));
 }
 
 #[test]
-fn taking_a_claim_over_breaks_i3() {
-    assert_breaks(&Claims { flaw: Flaw::TakeOver, requests: 2, crashes: 1, losses: 0 }, "I3");
+fn taking_over_a_claim_violates_i3() {
+    assert_violates(&Claims { bug: Bug::ClaimTakenOver, requests: 2, crashes: 1, losses: 0 }, "I3");
 }
 
 #[test]
-fn trusting_a_lost_answer_breaks_i3() {
-    assert_breaks(&Claims { flaw: Flaw::TrustLost, requests: 2, crashes: 0, losses: 1 }, "I3");
+fn assuming_a_claim_after_a_lost_answer_violates_i3() {
+    assert_violates(&Claims { bug: Bug::LostInsertTrusted, requests: 2, crashes: 0, losses: 1 }, "I3");
 }
 
 #[test]
-fn repeating_a_failed_dispatch_breaks_i3() {
-    assert_breaks(&Claims { flaw: Flaw::HastyRetry, requests: 1, crashes: 0, losses: 0 }, "I3");
+fn repeating_a_failed_dispatch_violates_i3() {
+    assert_violates(&Claims { bug: Bug::UnverifiedRetry, requests: 1, crashes: 0, losses: 0 }, "I3");
 }
 
 #[test]
-fn a_hasty_not_run_breaks_i4() {
-    assert_breaks(&Claims { flaw: Flaw::HastyNotRun, requests: 1, crashes: 0, losses: 0 }, "I4");
+fn reporting_not_run_without_asking_the_engine_violates_i4() {
+    assert_violates(&Claims { bug: Bug::UnverifiedNotRun, requests: 1, crashes: 0, losses: 0 }, "I4");
 }
--- a/crates/budget/tests/model/money.rs
+++ b/crates/budget/tests/model/grants.rs
@@ -1,26 +1,29 @@
 //! Grants, charges, loans and credits (I1, I2, I5, I6).
 //!
-//! Two routers draw on one budget. A transaction reads the rows, travels, and takes effect much later or
-//! never; its answer may be lost; the router may try again meanwhile. Loans may be asked for again. A router
-//! may crash at any moment and come back as a new incarnation that knows nothing. A caller retries its keyed
-//! request at the other router. A top-up arrives, and every batch names all credits again.
+//! Two routers draw on one budget. A transaction reads the rows and takes effect much later or never; its
+//! answer may be lost, and the router may try again in the meantime. Requests for loans may be repeated. A
+//! router may crash at any time and restart as a new incarnation without state. A caller retries its request
+//! with the same key at the other router. A credit is added during the run, and every batch lists all credits
+//! again.
 
-use crate::search::{Model, assert_breaks, assert_holds, search};
+use crate::search::{Model, assert_holds, assert_violates, search};
 use budget::grant::{Grant, ReserveOutcome};
 use budget::ledger::{Account, Batch, Charge, Credit, Pool, close_account, post};
 use std::collections::{BTreeMap, BTreeSet};
 
 const BUDGET: &str = "radar/main";
 const KEY: &str = "k";
-/// The worst case of a request, and what a run really consumes.
-const WORST: u64 = 2;
+/// The worst-case usage of a request, in tokens.
+const WORST_CASE: u64 = 2;
+/// The actual usage of a request, in tokens.
 const USED: u64 = 1;
-/// The tokens of the first credit and of the top-up.
-const PREPAID: u64 = 3;
-const TOP_UP: u64 = 2;
+/// The tokens of the first credit.
+const FIRST_CREDIT: u64 = 3;
+/// The tokens of the credit that is added during the run.
+const ADDED_CREDIT: u64 = 2;
 const ROUTERS: usize = 2;
 
-/// How often each event may happen.
+/// The maximum number of times that each event happens.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
     submissions: u8,
@@ -28,33 +31,33 @@
     losses: u8,
     crashes: u8,
     loans: u8,
-    releases: u8,
+    closures: u8,
 }
 
-/// A deliberate mistake.
+/// A bug injected into the protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Flaw {
+enum Bug {
     None,
-    /// After a lost answer the batch is sent under a new number.
-    NewNumber,
-    /// A loan that is asked for again is taken in again.
-    LoanTwice,
-    /// A lender does not take out what it lends.
-    LendWithout,
-    /// Nobody looks whether the key was charged before.
+    /// After a lost answer the batch is sent again with a new sequence number.
+    NewSequence,
+    /// A repeated request for a loan adds the tokens again.
+    LoanReceivedTwice,
+    /// A lender keeps the tokens that it lends.
+    LoanNotDeducted,
+    /// The key is not checked for earlier charges.
     NoKeyCheck,
-    /// Credits are added without looking at their identifiers.
-    CreditTwice,
-    /// A request is dispatched although its reservation fell short.
+    /// Credits are added without checking their identifiers.
+    CreditAddedTwice,
+    /// A request is dispatched although its reservation failed.
     NoReservation,
-    /// A crashed router's tokens are given back to the pool without knowing what it consumed.
-    ReleaseDead,
-    /// A router lends and reserves beyond what it exposed.
-    NoCap,
+    /// A crashed router's tokens are returned to the pool regardless of what it consumed.
+    CrashedGrantReturned,
+    /// A router lends and reserves more than its exposure limit.
+    NoExposureLimit,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Running {
+struct Run {
     request: u8,
     reserved: u64,
     keyed: bool,
@@ -67,12 +70,12 @@
     grant: Grant,
     sequence: u64,
     batch: Option<Batch>,
-    running: Vec<Running>,
+    running: Vec<Run>,
 }
 
-/// A transaction on its way, with the rows as it read and as it would write them.
+/// A transaction in flight: the version of the pool row that it read, and the rows that it would write.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Sent {
+struct Transaction {
     router: usize,
     incarnation: u8,
     pool_version: u8,
@@ -86,7 +89,7 @@
     from: usize,
     to: usize,
     tokens: Option<u64>,
-    taken: bool,
+    received: bool,
     lender: u8,
     borrower: u8,
 }
@@ -98,30 +101,30 @@
     accounts: BTreeMap<(usize, u8), Account>,
     charged: BTreeMap<String, String>,
     routers: Vec<Router>,
-    sent: Vec<Sent>,
+    in_flight: Vec<Transaction>,
     loans: Vec<Loan>,
-    topped_up: bool,
+    credit_added: bool,
     submitted: u8,
     attempts: u8,
     losses: u8,
     crashes: u8,
-    releases: u8,
+    closures: u8,
     consumed: u64,
-    uncovered: bool,
-    posted: BTreeSet<String>,
+    unreserved_use: bool,
+    charged_keys: BTreeSet<String>,
     expected_spent: u64,
 }
 
-struct Money {
+struct Grants {
     bounds: Bounds,
-    flaw: Flaw,
+    bug: Bug,
 }
 
-impl Money {
+impl Grants {
     fn credits(&self, state: &State) -> Vec<Credit> {
-        let mut credits = vec![Credit { id: "c1".into(), tokens: PREPAID }];
-        if state.topped_up {
-            credits.push(Credit { id: "c2".into(), tokens: TOP_UP });
+        let mut credits = vec![Credit { id: "c1".into(), tokens: FIRST_CREDIT }];
+        if state.credit_added {
+            credits.push(Credit { id: "c2".into(), tokens: ADDED_CREDIT });
         }
         credits
     }
@@ -130,18 +133,18 @@
         let mut next = state.clone();
         next.submitted += 1;
         let router = &mut next.routers[index];
-        if self.flaw == Flaw::NoCap {
+        if self.bug == Bug::NoExposureLimit {
             router.grant.lift_exposure_limit();
         }
         if router.running.iter().any(|running| running.keyed && keyed) {
             return None;
         }
-        let reserved = match router.grant.reserve(WORST) {
-            ReserveOutcome::Reserved => WORST,
-            _ if self.flaw == Flaw::NoReservation => 0,
+        let reserved = match router.grant.reserve(WORST_CASE) {
+            ReserveOutcome::Reserved => WORST_CASE,
+            _ if self.bug == Bug::NoReservation => 0,
             ReserveOutcome::Insufficient(_) | ReserveOutcome::ExposureExceeded => return None,
         };
-        router.running.push(Running { request: state.submitted, reserved, keyed, consumed: false });
+        router.running.push(Run { request: state.submitted, reserved, keyed, consumed: false });
         Some(next)
     }
 
@@ -152,7 +155,7 @@
             return None;
         }
         running.consumed = true;
-        next.uncovered |= running.reserved < USED;
+        next.unreserved_use |= running.reserved < USED;
         next.consumed += USED;
         Some(next)
     }
@@ -184,14 +187,14 @@
         Some(next)
     }
 
-    /// Reads the rows and sends the transaction; an earlier one may still be on its way.
+    /// Reads the rows and sends the transaction. An earlier one may still be in flight.
     fn attempt(&self, state: &State, index: usize) -> Option<State> {
         let router = &state.routers[index];
         let mut batch = router.batch.clone()?;
         let mut next = state.clone();
         let mut account = self.account(state, index);
         if account.sequence >= batch.sequence {
-            if self.flaw != Flaw::NewNumber || state.sent.iter().any(|sent| sent.router == index) {
+            if self.bug != Bug::NewSequence || state.in_flight.iter().any(|sent| sent.router == index) {
                 return None;
             }
             batch.sequence = account.sequence + 1;
@@ -199,21 +202,21 @@
             next.routers[index].batch = Some(batch.clone());
         }
         let mut pools: BTreeMap<String, Pool> = [(BUDGET.to_owned(), state.pool.clone())].into();
-        if self.flaw == Flaw::CreditTwice {
+        if self.bug == Bug::CreditAddedTwice {
             pools.get_mut(BUDGET)?.credits.clear();
         }
         let charged = |key: &budget::ledger::ChargeIdentity<'_>| {
-            self.flaw != Flaw::NoKeyCheck
+            self.bug != Bug::NoKeyCheck
                 && state.charged.get(key.key).is_some_and(|request| request != key.request)
         };
         let result = post(&mut account, &mut pools, &charged, &batch, ROUTERS as u64);
-        if self.flaw == Flaw::CreditTwice {
+        if self.bug == Bug::CreditAddedTwice {
             account.sequence = batch.sequence;
         } else if result.is_err() {
             return None;
         }
         next.attempts += 1;
-        next.sent.push(Sent {
+        next.in_flight.push(Transaction {
             router: index,
             incarnation: router.incarnation,
             pool_version: state.pool_version,
@@ -229,10 +232,10 @@
         state.accounts.get(&key).cloned().unwrap_or_default()
     }
 
-    /// A transaction takes effect, if the rows are as it read them.
+    /// Applies a transaction, if the rows have not changed since it read them.
     fn deliver(&self, state: &State, at: usize) -> State {
         let mut next = state.clone();
-        let sent = next.sent.remove(at);
+        let sent = next.in_flight.remove(at);
         let key = (sent.router, sent.incarnation);
         let known = state.accounts.get(&key).cloned().unwrap_or_default();
         let is_stale = known.closed != sent.account.closed;
@@ -245,7 +248,7 @@
                 None => next.expected_spent += charge.tokens,
                 Some(key) => {
                     next.charged.entry(key.clone()).or_insert_with(|| charge.request.clone());
-                    if next.posted.insert(key.clone()) {
+                    if next.charged_keys.insert(key.clone()) {
                         next.expected_spent += charge.tokens;
                     }
                 }
@@ -257,8 +260,8 @@
         next
     }
 
-    /// The router learns by reading back that its batch is in the account.
-    fn learn(&self, state: &State, index: usize) -> Option<State> {
+    /// The router reads the account back and closes its batch, if it was applied.
+    fn read_back(&self, state: &State, index: usize) -> Option<State> {
         let batch = state.routers[index].batch.as_ref()?;
         let account = self.account(state, index);
         if account.sequence < batch.sequence {
@@ -274,7 +277,7 @@
     fn crash(&self, state: &State, index: usize) -> State {
         let mut next = state.clone();
         next.crashes += 1;
-        if self.flaw == Flaw::ReleaseDead {
+        if self.bug == Bug::CrashedGrantReturned {
             let held = self.account(state, index).lines.get(BUDGET).map_or(0, budget::ledger::Line::held);
             next.pool.outstanding -= held.min(next.pool.outstanding);
             next.pool.free += held.min(state.pool.outstanding);
@@ -285,33 +288,33 @@
         next
     }
 
-    /// A keeper closes an account, whether its router is gone, or lives on unaware.
-    fn release(&self, state: &State, index: usize, incarnation: u8) -> Option<State> {
+    /// A keeper closes an account. Its router may be gone, or still run without knowing of it.
+    fn close_account(&self, state: &State, index: usize, incarnation: u8) -> Option<State> {
         let mut next = state.clone();
         let account = next.accounts.get_mut(&(index, incarnation)).filter(|account| !account.closed)?;
         let mut pools: BTreeMap<String, Pool> = [(BUDGET.to_owned(), state.pool.clone())].into();
         close_account(account, &mut pools).ok()?;
         next.pool = pools.remove(BUDGET)?;
         next.pool_version += 1;
-        next.releases += 1;
+        next.closures += 1;
         Some(next)
     }
 
-    fn ask_loan(&self, state: &State, to: usize) -> State {
+    fn request_loan(&self, state: &State, to: usize) -> State {
         let mut next = state.clone();
         let from = 1 - to;
         next.loans.push(Loan {
             from,
             to,
             tokens: None,
-            taken: false,
+            received: false,
             lender: state.routers[from].incarnation,
             borrower: state.routers[to].incarnation,
         });
         next
     }
 
-    /// The lender answers; a repeated request gets the same answer.
+    /// The lender answers a request for a loan. A repeated request gets the same answer.
     fn lend(&self, state: &State, at: usize) -> Option<State> {
         let mut next = state.clone();
         let loan = &mut next.loans[at];
@@ -320,31 +323,32 @@
             return None;
         }
         let before = lender.grant.clone();
-        loan.tokens = Some(lender.grant.lend(WORST, 0));
-        if self.flaw == Flaw::LendWithout {
+        loan.tokens = Some(lender.grant.lend(WORST_CASE, 0));
+        if self.bug == Bug::LoanNotDeducted {
             lender.grant = before;
         }
         Some(next)
     }
 
-    fn take_loan(&self, state: &State, at: usize) -> Option<State> {
+    fn receive_loan(&self, state: &State, at: usize) -> Option<State> {
         let mut next = state.clone();
         let loan = &mut next.loans[at];
         let borrower = &mut next.routers[loan.to];
         let tokens = loan.tokens.filter(|tokens| *tokens > 0)?;
-        if borrower.incarnation != loan.borrower || (loan.taken && self.flaw != Flaw::LoanTwice) {
+        if borrower.incarnation != loan.borrower || (loan.received && self.bug != Bug::LoanReceivedTwice) {
             return None;
         }
         if borrower.grant.available() > 4 {
             return None;
         }
-        loan.taken = true;
+        loan.received = true;
         borrower.grant.receive(tokens);
         Some(next)
     }
 
-    /// Tokens that a router can still charge. One whose account was closed may hold more, but not use it.
-    fn possible(&self, state: &State, index: usize) -> u64 {
+    /// The tokens that a router can still charge. A router whose account was closed may hold more than it can
+    /// use.
+    fn chargeable(&self, state: &State, index: usize) -> u64 {
         let router = &state.routers[index];
         let account = self.account(state, index);
         let mut grant = router.grant.clone();
@@ -363,7 +367,7 @@
     }
 }
 
-impl Model for Money {
+impl Model for Grants {
     type State = State;
 
     fn start(&self) -> State {
@@ -373,8 +377,8 @@
     fn next(&self, state: &State) -> Vec<State> {
         let bounds = self.bounds;
         let mut next = vec![];
-        if !state.topped_up {
-            next.push(State { topped_up: true, ..state.clone() });
+        if !state.credit_added {
+            next.push(State { credit_added: true, ..state.clone() });
         }
         for index in 0..ROUTERS {
             let router = &state.routers[index];
@@ -391,51 +395,51 @@
                 next.extend(self.open(state, index, 0, 0));
                 next.extend(self.attempt(state, index));
             }
-            next.extend(self.learn(state, index));
+            next.extend(self.read_back(state, index));
             if state.crashes < bounds.crashes {
                 next.push(self.crash(state, index));
             }
-            if state.releases < bounds.releases {
+            if state.closures < bounds.closures {
                 for incarnation in 0..=router.incarnation {
-                    next.extend(self.release(state, index, incarnation));
+                    next.extend(self.close_account(state, index, incarnation));
                 }
             }
             if state.loans.len() < usize::from(bounds.loans) {
-                next.push(self.ask_loan(state, index));
+                next.push(self.request_loan(state, index));
             }
         }
-        for at in 0..state.sent.len() {
+        for at in 0..state.in_flight.len() {
             next.push(self.deliver(state, at));
             if state.losses < bounds.losses {
                 let mut lost = state.clone();
-                lost.sent.remove(at);
+                lost.in_flight.remove(at);
                 lost.losses += 1;
                 next.push(lost);
             }
         }
         for at in 0..state.loans.len() {
             next.extend(self.lend(state, at));
-            next.extend(self.take_loan(state, at));
+            next.extend(self.receive_loan(state, at));
         }
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
+    fn violation(&self, state: &State) -> Option<&'static str> {
         let seen = |id: &str| state.pool.credits.contains_key(id);
-        let credited = u64::from(seen("c1")) * PREPAID + u64::from(seen("c2")) * TOP_UP;
-        let held: u64 = (0..ROUTERS).map(|index| self.possible(state, index)).sum();
-        let travelling: u64 = state
+        let credited = u64::from(seen("c1")) * FIRST_CREDIT + u64::from(seen("c2")) * ADDED_CREDIT;
+        let held: u64 = (0..ROUTERS).map(|index| self.chargeable(state, index)).sum();
+        let in_transit: u64 = state
             .loans
             .iter()
-            .filter(|loan| !loan.taken && state.routers[loan.to].incarnation == loan.borrower)
+            .filter(|loan| !loan.received && state.routers[loan.to].incarnation == loan.borrower)
             .filter_map(|loan| loan.tokens)
             .sum();
         let total = state.pool.free + state.pool.outstanding + state.pool.spent;
         if total != credited {
             Some("I5")
-        } else if state.uncovered || state.consumed > state.pool.spent + state.pool.outstanding {
+        } else if state.unreserved_use || state.consumed > state.pool.spent + state.pool.outstanding {
             Some("I6")
-        } else if state.pool.spent + held + travelling + state.pool.free > credited {
+        } else if state.pool.spent + held + in_transit + state.pool.free > credited {
             Some("I1")
         } else if state.pool.spent != state.expected_spent {
             Some("I2")
@@ -445,106 +449,107 @@
     }
 }
 
-/// The bounds of CI: each exercises some of the events together.
+// Bounds for CI. Each of them combines some of the events.
+
 const LOST_ANSWERS: Bounds =
-    Bounds { submissions: 1, attempts: 4, losses: 1, crashes: 0, loans: 0, releases: 0 };
+    Bounds { submissions: 1, attempts: 4, losses: 1, crashes: 0, loans: 0, closures: 0 };
 const RETRY_ELSEWHERE: Bounds =
-    Bounds { submissions: 2, attempts: 3, losses: 0, crashes: 0, loans: 0, releases: 0 };
-const CRASH: Bounds = Bounds { submissions: 1, attempts: 3, losses: 1, crashes: 1, loans: 0, releases: 0 };
-const LOAN: Bounds = Bounds { submissions: 1, attempts: 2, losses: 0, crashes: 1, loans: 1, releases: 0 };
-const RELEASE: Bounds = Bounds { submissions: 2, attempts: 2, losses: 0, crashes: 1, loans: 0, releases: 1 };
-const RELEASE_LENT: Bounds =
-    Bounds { submissions: 1, attempts: 2, losses: 0, crashes: 0, loans: 1, releases: 1 };
-/// Only with the command for the larger check.
-const LARGE: Bounds = Bounds { submissions: 2, attempts: 4, losses: 1, crashes: 1, loans: 0, releases: 0 };
-
-fn check(flaw: Flaw, bounds: Bounds) -> Money {
-    Money { bounds, flaw }
+    Bounds { submissions: 2, attempts: 3, losses: 0, crashes: 0, loans: 0, closures: 0 };
+const CRASH: Bounds = Bounds { submissions: 1, attempts: 3, losses: 1, crashes: 1, loans: 0, closures: 0 };
+const LOAN: Bounds = Bounds { submissions: 1, attempts: 2, losses: 0, crashes: 1, loans: 1, closures: 0 };
+const CLOSURE: Bounds = Bounds { submissions: 2, attempts: 2, losses: 0, crashes: 1, loans: 0, closures: 1 };
+const CLOSURE_DURING_LOAN: Bounds =
+    Bounds { submissions: 1, attempts: 2, losses: 0, crashes: 0, loans: 1, closures: 1 };
+/// Used only by the ignored test.
+const LARGE: Bounds = Bounds { submissions: 2, attempts: 4, losses: 1, crashes: 1, loans: 0, closures: 0 };
+
+fn model(bug: Bug, bounds: Bounds) -> Grants {
+    Grants { bounds, bug }
 }
 
-fn holds(bounds: Bounds, least: usize) {
-    let states = assert_holds(&check(Flaw::None, bounds));
-    println!("money: {states} states with {bounds:?}");
-    assert!(states > least, "the bounds leave only {states} states");
+fn check(bounds: Bounds, min_states: usize) {
+    let states = assert_holds(&model(Bug::None, bounds));
+    println!("grants: {states} states with {bounds:?}");
+    assert!(states > min_states, "only {states} states are reachable within the bounds");
 }
 
 #[test]
-fn safe_with_lost_answers_and_a_top_up() {
-    holds(LOST_ANSWERS, 1_000);
+fn invariants_hold_with_lost_answers_and_an_added_credit() {
+    check(LOST_ANSWERS, 1_000);
 }
 
 #[test]
-fn safe_when_a_caller_retries_at_another_router() {
-    holds(RETRY_ELSEWHERE, 1_000);
+fn invariants_hold_when_a_caller_retries_at_another_router() {
+    check(RETRY_ELSEWHERE, 1_000);
 }
 
 #[test]
-fn safe_when_a_router_crashes_and_comes_back() {
-    holds(CRASH, 1_000);
+fn invariants_hold_when_a_router_crashes_and_restarts() {
+    check(CRASH, 1_000);
 }
 
 #[test]
-fn safe_when_tokens_are_lent() {
-    holds(LOAN, 1_000);
+fn invariants_hold_when_tokens_are_lent() {
+    check(LOAN, 1_000);
 }
 
 #[test]
-fn safe_when_the_account_of_a_dead_or_living_router_is_closed() {
-    holds(RELEASE, 1_000);
+fn invariants_hold_when_the_account_of_a_dead_or_running_router_is_closed() {
+    check(CLOSURE, 1_000);
 }
 
 #[test]
-fn safe_when_an_account_is_closed_while_tokens_are_lent() {
-    holds(RELEASE_LENT, 1_000);
+fn invariants_hold_when_an_account_is_closed_while_tokens_are_lent() {
+    check(CLOSURE_DURING_LOAN, 1_000);
 }
 
 #[test]
-fn using_more_than_was_exposed_breaks_i1() {
-    let found = search(&check(Flaw::NoCap, RELEASE));
-    let broken = found.counterexample.map(|(broken, _)| broken);
-    assert!(matches!(broken, Some("I1" | "I6")), "{broken:?} after {} states", found.states);
+fn exceeding_the_exposure_limit_violates_i1_or_i6() {
+    let found = search(&model(Bug::NoExposureLimit, CLOSURE));
+    let violated = found.counterexample.map(|(invariant, _)| invariant);
+    assert!(matches!(violated, Some("I1" | "I6")), "{violated:?} after {} states", found.states);
 }
 
 #[test]
 #[ignore = "takes minutes and gigabytes; run with --ignored"]
-fn safe_in_larger_bounds() {
-    holds(LARGE, 1_000_000);
+fn invariants_hold_in_larger_bounds() {
+    check(LARGE, 1_000_000);
 }
 
 #[test]
-fn a_batch_under_a_new_number_breaks_i1() {
-    let found = search(&check(Flaw::NewNumber, LOST_ANSWERS));
-    let broken = found.counterexample.map(|(broken, _)| broken);
-    assert!(matches!(broken, Some("I1" | "I2")), "{broken:?} after {} states", found.states);
+fn resending_a_batch_with_a_new_sequence_number_violates_i1_or_i2() {
+    let found = search(&model(Bug::NewSequence, LOST_ANSWERS));
+    let violated = found.counterexample.map(|(invariant, _)| invariant);
+    assert!(matches!(violated, Some("I1" | "I2")), "{violated:?} after {} states", found.states);
 }
 
 #[test]
-fn a_loan_taken_in_twice_breaks_i1() {
-    assert_breaks(&check(Flaw::LoanTwice, LOAN), "I1");
+fn receiving_a_loan_twice_violates_i1() {
+    assert_violates(&model(Bug::LoanReceivedTwice, LOAN), "I1");
 }
 
 #[test]
-fn a_loan_that_is_not_taken_out_breaks_i1() {
-    assert_breaks(&check(Flaw::LendWithout, LOAN), "I1");
+fn lending_without_deducting_violates_i1() {
+    assert_violates(&model(Bug::LoanNotDeducted, LOAN), "I1");
 }
 
 #[test]
-fn releasing_a_dead_routers_tokens_breaks_i6() {
-    assert_breaks(&check(Flaw::ReleaseDead, CRASH), "I6");
+fn returning_a_crashed_routers_grant_violates_i6() {
+    assert_violates(&model(Bug::CrashedGrantReturned, CRASH), "I6");
 }
 
 #[test]
-fn charging_without_a_look_at_the_key_breaks_i2() {
-    let bounds = Bounds { submissions: 2, attempts: 4, losses: 0, crashes: 0, loans: 0, releases: 0 };
-    assert_breaks(&check(Flaw::NoKeyCheck, bounds), "I2");
+fn charging_without_checking_the_key_violates_i2() {
+    let bounds = Bounds { submissions: 2, attempts: 4, losses: 0, crashes: 0, loans: 0, closures: 0 };
+    assert_violates(&model(Bug::NoKeyCheck, bounds), "I2");
 }
 
 #[test]
-fn adding_a_credit_twice_breaks_i5() {
-    assert_breaks(&check(Flaw::CreditTwice, LOST_ANSWERS), "I5");
+fn adding_a_credit_twice_violates_i5() {
+    assert_violates(&model(Bug::CreditAddedTwice, LOST_ANSWERS), "I5");
 }
 
 #[test]
-fn dispatching_without_a_reservation_breaks_i6() {
-    assert_breaks(&check(Flaw::NoReservation, RETRY_ELSEWHERE), "I6");
+fn dispatching_without_a_reservation_violates_i6() {
+    assert_violates(&model(Bug::NoReservation, RETRY_ELSEWHERE), "I6");
 }
--- a/crates/budget/tests/model/main.rs
+++ b/crates/budget/tests/model/main.rs
@@ -1,9 +1,10 @@
-//! Model check of the budget protocol: every order of events within small bounds, on the same decision code
-//! that the router runs. Each invariant also has a broken variant that the check must catch.
+//! Model check of the budget protocol. It tries every order of events within small bounds, on the same
+//! decision code that the router runs. For each invariant there are also variants with an injected bug that
+//! the check must find.
 //!
-//! `cargo test -p budget --test model` runs the bounds of CI; `-- --ignored` runs the larger ones.
+//! `cargo test -p budget --test model` checks the bounds of CI; `-- --ignored` checks larger ones.
 
 mod claims;
-mod money;
+mod grants;
 mod notes;
 mod search;
--- a/crates/budget/tests/model/notes.rs
+++ b/crates/budget/tests/model/notes.rs
@@ -1,33 +1,33 @@
-//! UsageNotes of use: whoever reads the row never assumes less use than the router was allowed.
+//! Usage notes: a reader of the row never assumes that less was used than the router has used.
 //!
-//! A router uses tokens within its limit and sends notes. A note may be answered, its answer may be lost, and a
-//! note whose answer did not come may take effect later, also after the router died. The row may be read at any
-//! moment.
+//! A router uses tokens within its limit and sends notes. A note may be answered, or its answer may be lost;
+//! a note without an answer may take effect later, even after the router crashed. The row may be read at any
+//! time.
 
-use crate::search::{Model, assert_breaks, assert_holds};
+use crate::search::{Model, assert_holds, assert_violates};
 use budget::exposure::{Schedule, UsageNotes};
 
-/// The model's step of time, in milliseconds.
-const TICK: u64 = 500;
+/// The time step of the model, in milliseconds.
+const STEP_MS: u64 = 500;
 
-/// A deliberate mistake.
+/// A bug injected into the protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Flaw {
+enum Bug {
     None,
-    /// A note whose answer was lost counts as not written.
-    ForgetUnsure,
-    /// UsageNotes are written without a condition.
+    /// A note whose answer was lost is assumed not to be written.
+    UnconfirmedDropped,
+    /// Notes are written without a condition on the row's version.
     Unconditional,
-    /// A note says that it is younger than it is.
+    /// A note claims to have been sent later than it was.
     Postdated,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-struct Flying {
-    condition: u64,
+struct NoteInFlight {
+    expected_version: u64,
     schedule: Schedule,
     at: u64,
-    awaited: bool,
+    answer_expected: bool,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -38,24 +38,24 @@
     notes_left: u32,
     dead: bool,
     notes: UsageNotes,
-    /// The row's version, as the router knows it.
-    known: Option<u64>,
+    /// The version of the row, as far as the router knows it.
+    known_version: Option<u64>,
     version: u64,
     row: Option<(Schedule, u64)>,
-    flying: Vec<Flying>,
-    /// The answer to the awaited note, once it took effect or failed.
+    in_flight: Vec<NoteInFlight>,
+    /// The pending answer to the last note: whether it took effect.
     answer: Option<bool>,
 }
 
-struct Protocol {
-    flaw: Flaw,
+struct NotesModel {
+    bug: Bug,
     uses: u32,
     notes: u32,
     until: u64,
 }
 
-impl Protocol {
-    fn alive(&self, state: &State, next: &mut Vec<State>) {
+impl NotesModel {
+    fn router_steps(&self, state: &State, next: &mut Vec<State>) {
         if state.uses_left > 0 && state.used < state.notes.limit(state.now) {
             let mut used = state.clone();
             used.used += 1;
@@ -63,34 +63,37 @@
             next.push(used);
         }
         if state.used > 0 {
-            // A reservation ends with less than its worst case.
+            // A request ends and has used less than its reservation.
             next.push(State { used: state.used - 1, ..state.clone() });
         }
-        let is_awaiting = state.answer.is_some() || state.flying.iter().any(|note| note.awaited);
-        match state.known {
-            Some(known) if !is_awaiting && state.notes_left > 0 => next.push(self.send(state, known)),
-            None => next.push(State { known: Some(state.version), ..state.clone() }),
+        let is_answer_expected =
+            state.answer.is_some() || state.in_flight.iter().any(|note| note.answer_expected);
+        match state.known_version {
+            Some(known_version) if !is_answer_expected && state.notes_left > 0 => {
+                next.push(self.send(state, known_version))
+            }
+            None => next.push(State { known_version: Some(state.version), ..state.clone() }),
             _ => {}
         }
         if let Some(applied) = state.answer {
             let mut answered = state.clone();
             answered.notes.record_result(Some(applied));
             answered.answer = None;
-            answered.known = Some(state.version);
+            answered.known_version = Some(state.version);
             next.push(answered);
         }
-        if is_awaiting {
+        if is_answer_expected {
             let mut lost = state.clone();
-            lost.notes.record_result(if self.flaw == Flaw::ForgetUnsure { Some(false) } else { None });
+            lost.notes.record_result(if self.bug == Bug::UnconfirmedDropped { Some(false) } else { None });
             lost.answer = None;
-            lost.known = None;
-            lost.flying.iter_mut().for_each(|note| note.awaited = false);
+            lost.known_version = None;
+            lost.in_flight.iter_mut().for_each(|note| note.answer_expected = false);
             next.push(lost);
         }
         next.push(State { dead: true, ..state.clone() });
     }
 
-    fn send(&self, state: &State, known: u64) -> State {
+    fn send(&self, state: &State, known_version: u64) -> State {
         let schedule = Schedule {
             used: state.used,
             charged: 0,
@@ -99,34 +102,39 @@
             first_per_s: 0,
             early_ms: 0,
             per_s: 1,
-            late_ms: TICK,
+            late_ms: STEP_MS,
             late_per_s: 1,
             late_most: 1,
         };
-        let at = if self.flaw == Flaw::Postdated { state.now + 2 * TICK } else { state.now };
+        let at = if self.bug == Bug::Postdated { state.now + 2 * STEP_MS } else { state.now };
         let mut sent = state.clone();
         sent.notes.record_sent(state.now, schedule);
         sent.notes_left -= 1;
-        sent.flying.push(Flying { condition: known, schedule, at, awaited: true });
+        sent.in_flight.push(NoteInFlight {
+            expected_version: known_version,
+            schedule,
+            at,
+            answer_expected: true,
+        });
         sent
     }
 
-    fn land(&self, state: &State, index: usize) -> State {
-        let mut landed = state.clone();
-        let note = landed.flying.remove(index);
-        let applies = note.condition == state.version || self.flaw == Flaw::Unconditional;
+    fn deliver(&self, state: &State, index: usize) -> State {
+        let mut delivered = state.clone();
+        let note = delivered.in_flight.remove(index);
+        let applies = note.expected_version == state.version || self.bug == Bug::Unconditional;
         if applies {
-            landed.version += 1;
-            landed.row = Some((note.schedule, note.at));
+            delivered.version += 1;
+            delivered.row = Some((note.schedule, note.at));
         }
-        if note.awaited {
-            landed.answer = Some(applies);
+        if note.answer_expected {
+            delivered.answer = Some(applies);
         }
-        landed
+        delivered
     }
 }
 
-impl Model for Protocol {
+impl Model for NotesModel {
     type State = State;
 
     fn start(&self) -> State {
@@ -137,55 +145,56 @@
             notes_left: self.notes,
             dead: false,
             notes: UsageNotes::default(),
-            known: Some(0),
+            known_version: Some(0),
             version: 0,
             row: None,
-            flying: vec![],
+            in_flight: vec![],
             answer: None,
         }
     }
 
     fn next(&self, state: &State) -> Vec<State> {
-        let mut next: Vec<State> = (0..state.flying.len()).map(|index| self.land(state, index)).collect();
+        let mut next: Vec<State> =
+            (0..state.in_flight.len()).map(|index| self.deliver(state, index)).collect();
         if state.now < self.until {
-            next.push(State { now: state.now + TICK, ..state.clone() });
+            next.push(State { now: state.now + STEP_MS, ..state.clone() });
         }
         if !state.dead {
-            self.alive(state, &mut next);
+            self.router_steps(state, &mut next);
         }
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
+    fn violation(&self, state: &State) -> Option<&'static str> {
         let (schedule, at) = state.row?;
         let assumed = schedule.limit(state.now.saturating_sub(at));
-        (state.used > assumed).then_some("a reader assumes at least what was used")
+        (state.used > assumed).then_some("readers assume at least the actual use")
     }
 }
 
-fn protocol(flaw: Flaw) -> Protocol {
-    Protocol { flaw, uses: 4, notes: 3, until: 4 * TICK }
+fn model(bug: Bug) -> NotesModel {
+    NotesModel { bug, uses: 4, notes: 3, until: 4 * STEP_MS }
 }
 
-const INVARIANT: &str = "a reader assumes at least what was used";
+const INVARIANT: &str = "readers assume at least the actual use";
 
 #[test]
-fn a_reader_of_notes_assumes_at_least_what_was_used() {
-    let states = assert_holds(&protocol(Flaw::None));
+fn readers_of_a_note_assume_at_least_the_actual_use() {
+    let states = assert_holds(&model(Bug::None));
     assert!(states > 10_000, "only {states} states were visited");
 }
 
 #[test]
-fn forgetting_an_unanswered_note_is_caught() {
-    assert_breaks(&protocol(Flaw::ForgetUnsure), INVARIANT);
+fn dropping_an_unconfirmed_note_is_detected() {
+    assert_violates(&model(Bug::UnconfirmedDropped), INVARIANT);
 }
 
 #[test]
-fn unconditional_notes_are_caught() {
-    assert_breaks(&protocol(Flaw::Unconditional), INVARIANT);
+fn unconditional_notes_are_detected() {
+    assert_violates(&model(Bug::Unconditional), INVARIANT);
 }
 
 #[test]
-fn postdated_notes_are_caught() {
-    assert_breaks(&protocol(Flaw::Postdated), INVARIANT);
+fn postdated_notes_are_detected() {
+    assert_violates(&model(Bug::Postdated), INVARIANT);
 }
--- a/crates/budget/tests/model/search.rs
+++ b/crates/budget/tests/model/search.rs
@@ -1,4 +1,4 @@
-//! Exhaustive breadth-first search with a shortest counterexample.
+//! Exhaustive breadth-first search that finds a shortest counterexample.
 
 use pathfinding::directed::bfs::bfs;
 use std::cell::Cell;
@@ -6,36 +6,36 @@
 use std::hash::Hash;
 use std::sync::{Mutex, PoisonError};
 
-/// A protocol as states and steps between them.
+/// A protocol, as a set of states and the transitions between them.
 pub trait Model {
-    /// One state of everything.
+    /// A state of the whole system.
     type State: Clone + Debug + Eq + Hash;
 
-    /// The state at the beginning.
+    /// The initial state.
     fn start(&self) -> Self::State;
 
-    /// Every state that can come next.
+    /// All possible successors of a state.
     fn next(&self, state: &Self::State) -> Vec<Self::State>;
 
-    /// The name of an invariant that the state breaks.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    /// The name of an invariant that the state violates, if any.
+    fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug)]
-pub struct Found<S> {
-    /// States visited.
+pub struct SearchResult<S> {
+    /// The number of states visited.
     pub states: usize,
-    /// The broken invariant and the shortest way to it.
+    /// The violated invariant and a shortest path to its violation.
     pub counterexample: Option<(&'static str, Vec<S>)>,
 }
 
-/// One search at a time, so that the states of one only are in memory.
-static TURN: Mutex<()> = Mutex::new(());
+/// Serialises the searches, so that only one of them has its states in memory.
+static SEARCH_LOCK: Mutex<()> = Mutex::new(());
 
-/// Visits every reachable state until one breaks an invariant.
-pub fn search<M: Model>(model: &M) -> Found<M::State> {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+/// Visits all reachable states, or stops at the first that violates an invariant.
+pub fn search<M: Model>(model: &M) -> SearchResult<M::State> {
+    let _guard = SEARCH_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let states = Cell::new(0);
     let path = bfs(
         &model.start(),
@@ -43,28 +43,28 @@
             states.set(states.get() + 1);
             model.next(state)
         },
-        |state| model.broken(state).is_some(),
+        |state| model.violation(state).is_some(),
     );
     let counterexample = path.and_then(|path| {
-        let broken = path.last().and_then(|state| model.broken(state))?;
-        Some((broken, path))
+        let invariant = path.last().and_then(|state| model.violation(state))?;
+        Some((invariant, path))
     });
-    Found { states: states.get(), counterexample }
+    SearchResult { states: states.get(), counterexample }
 }
 
-/// Asserts that no reachable state breaks an invariant; returns how many there are.
+/// Asserts that no reachable state violates an invariant. Returns the number of reachable states.
 pub fn assert_holds<M: Model>(model: &M) -> usize {
     let found = search(model);
-    if let Some((broken, path)) = found.counterexample {
+    if let Some((invariant, path)) = found.counterexample {
         let steps: Vec<String> = path.iter().map(|state| format!("{state:?}")).collect();
-        panic!("{broken} is broken after {} steps:\n{}", path.len() - 1, steps.join("\n"));
+        panic!("{invariant} is violated after {} steps:\n{}", path.len() - 1, steps.join("\n"));
     }
     found.states
 }
 
-/// Asserts that some reachable state breaks `invariant`: the check can fail.
-pub fn assert_breaks<M: Model>(model: &M, invariant: &str) {
+/// Asserts that the search finds a violation of `invariant`.
+pub fn assert_violates<M: Model>(model: &M, invariant: &str) {
     let found = search(model);
-    let broken = found.counterexample.map(|(broken, path)| (broken, path.len() - 1));
-    assert_eq!(broken.map(|(broken, _)| broken), Some(invariant), "after {} states", found.states);
+    let violation = found.counterexample.map(|(violated, path)| (violated, path.len() - 1));
+    assert_eq!(violation.map(|(violated, _)| violated), Some(invariant), "after {} states", found.states);
 }
