--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -265,8 +265,8 @@
     for (budget, entry) in &batch.entries {
         let pool = pools.entry(budget.clone()).or_default();
         let line = account.lines.entry(budget.clone()).or_default();
-        let most = if account.closed { 0 } else { u64::MAX };
-        post_entry(budget, pool, line, charged, entry, (fleet, most))
+        let max_transfer = if account.closed { 0 } else { u64::MAX };
+        post_entry(budget, pool, line, charged, entry, (fleet, max_transfer))
             .ok_or_else(|| Error::Imbalance(budget.clone()))?;
     }
     account.sequence = batch.sequence;
@@ -293,7 +293,7 @@
     line: &mut Line,
     charged: &impl Fn(&ChargeIdentity<'_>) -> bool,
     entry: &Entry,
-    (fleet, most): (u64, u64),
+    (fleet, max_transfer): (u64, u64),
 ) -> Option<()> {
     for credit in &entry.credits {
         pool.credit(&credit.id, credit.tokens);
@@ -312,7 +312,7 @@
     }
     // Closing the account already returned everything that was not exposed, including what this batch
     // returns.
-    let returned = entry.returned.min(most);
+    let returned = entry.returned.min(max_transfer);
     pool.outstanding = pool.outstanding.checked_sub(returned)?;
     pool.free += returned;
     pool.recompute_free();
@@ -320,14 +320,14 @@
     line.sent += entry.sent;
     line.received += entry.received;
 
-    if most > 0 {
+    if max_transfer > 0 {
         line.exposed = entry.exposed;
     }
     let grant = match pool.level {
         Some(_) => grant_from_level(pool.free, entry.want, entry.need),
         None => grant_from_credits(pool.free, entry.want, entry.need, fleet),
     }
-    .min(most);
+    .min(max_transfer);
     pool.free -= grant;
     pool.outstanding += grant;
     if let Some(level) = pool.level {
