--- a/crates/gateway/src/team_budget.rs
+++ b/crates/gateway/src/team_budget.rs
@@ -153,7 +153,7 @@
         let now = self.now();
         let begun = {
             let mut state = self.lock();
-            state.demand.ask(now);
+            state.demand.record_request(now);
             if state.reserve(tokens) {
                 return Ok(Reservation::local(self, state.generation, tokens));
             }
@@ -417,7 +417,7 @@
             return;
         }
         let charge = Charge { request: request.to_owned(), key: None, tokens };
-        state.demand.consume(tokens);
+        state.demand.record_consumption(tokens);
         state.grant.charge(reserved, charge);
     }
 }
@@ -443,7 +443,7 @@
         let mut state = self.lock();
         let schedule = state.schedule(note_ms, owners);
         let now = state.now();
-        state.notes.begin(now, schedule);
+        state.notes.record_sent(now, schedule);
         (state.generation, schedule)
     }
 
@@ -454,7 +454,7 @@
         if state.generation != generation {
             return;
         }
-        state.notes.end(took_effect);
+        state.notes.record_result(took_effect);
         drop(state);
         self.changed.notify(usize::MAX);
     }
--- a/crates/gateway/tests/unit/settle.rs
+++ b/crates/gateway/tests/unit/settle.rs
@@ -60,7 +60,7 @@
         assert_matches!(first, Err(DenialReason::Away));
         rows.set_fault(RowsFault::None);
         budget.reserve(4_000, RESERVE_TIMEOUT).await.expect("tokens").charge("r-1", 3_000);
-        wait_for_pool(&rows, "the charge is settled", |pool| pool.spent == 3_000 && pool.balance()).await;
+        wait_for_pool(&rows, "the charge is settled", |pool| pool.spent == 3_000 && pool.is_balanced()).await;
     });
 }
 
@@ -78,7 +78,7 @@
         held.charge("r-1", 4_000);
         wait_for_pool(&rows, "the charge is settled", |pool| pool.spent == 4_000).await;
         let pool = pool(&rows);
-        assert!(pool.balance() && pool.spent + pool.outstanding <= 10_000, "{pool:?}");
+        assert!(pool.is_balanced() && pool.spent + pool.outstanding <= 10_000, "{pool:?}");
     });
 }
 
