--- a/crates/emulator/src/scenes.rs
+++ b/crates/emulator/src/scenes.rs
@@ -3,7 +3,7 @@
 use crate::engine::Spec;
 use crate::load::{Kind, Shared, Size};
 use crate::world::Scene;
-use route::Teller;
+use route::HintFilter;
 
 /// Long reports and short captions on twelve engines, a third of them slower: long reads hold up all streams.
 pub fn reports(seed: u64) -> Scene {
@@ -59,7 +59,7 @@
         load: 1.0,
         length_ms: 60_000.0,
         warm_ms: 10_000.0,
-        teller: Teller::default(),
+        teller: HintFilter::default(),
         faults: vec![],
         seed,
     }
@@ -144,7 +144,7 @@
         load: 1.0,
         length_ms: 60_000.0,
         warm_ms: 10_000.0,
-        teller: Teller::default(),
+        teller: HintFilter::default(),
         faults: vec![],
         seed,
     }
--- a/crates/emulator/src/warming.rs
+++ b/crates/emulator/src/warming.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use route::place::{Need, Places, Site};
+use route::placement::{PlacementRequest, Placer, UpstreamInfo};
 use route::roster::{Roster, SPAN_MS};
 use route::warmup::Warmup;
 use std::collections::{HashMap, VecDeque};
@@ -64,12 +64,12 @@
     format!("engine-{index}")
 }
 
-fn gateway(index: usize, scene: &Return) -> Places {
-    let mut places = Places::new("here");
+fn gateway(index: usize, scene: &Return) -> Placer {
+    let mut places = Placer::new("here");
     let warmup = Warmup { per_s: PER_S, lasts_ms: LASTS_MS };
     places.set_warmups(HashMap::from([(SERVICE.to_owned(), warmup)]));
     for upstream in 0..scene.upstreams {
-        let site = Site { service: SERVICE.to_owned(), data_centre: "here".to_owned(), slots: 48 };
+        let site = UpstreamInfo { service: SERVICE.to_owned(), data_centre: "here".to_owned(), slots: 48 };
         places.set(&name(upstream), site, false);
         if scene.bound == Bound::Ring {
             places.warm_up(&name(upstream), SPAN_MS + LASTS_MS, 0);
@@ -85,7 +85,7 @@
 /// Plays the time for which the upstreams warm up, once the gateways have known each other for a while.
 pub fn play_return(seed: u64, scene: &Return) -> Received {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut gateways: Vec<Places> = (0..scene.gateways).map(|index| gateway(index, scene)).collect();
+    let mut gateways: Vec<Placer> = (0..scene.gateways).map(|index| gateway(index, scene)).collect();
     // What each gateway knows that an upstream got, and when.
     let mut known: Vec<Vec<VecDeque<u64>>> = vec![vec![VecDeque::new(); scene.upstreams]; scene.gateways];
     let mut on_the_way: VecDeque<(u64, usize, usize)> = VecDeque::new();
@@ -141,8 +141,8 @@
 }
 
 /// Sends a request by the gateway's own choice.
-fn ring(places: &mut Places, now: u64) -> Option<usize> {
-    let chosen = places.choose(&Need { service: SERVICE, prompt: None, avoid: &[] }, now)?;
+fn ring(places: &mut Placer, now: u64) -> Option<usize> {
+    let chosen = places.choose(&PlacementRequest { service: SERVICE, prompt: None, avoid: &[] }, now)?;
     let ticket = places.begin(&chosen, None, now);
     places.end(&chosen.upstream, ticket, now);
     chosen.upstream["engine-".len()..].parse().ok()
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -6,9 +6,11 @@
 use crate::outcome::Outcome;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use route::place::{Chosen, Need, Part, Places, Prompt, Site, Ticket, Told};
+use route::placement::{
+    DispatchHint, DispatchId, Placement, PlacementRequest, Placer, Prompt, PromptPart, UpstreamInfo,
+};
 use route::word::Word;
-use route::{Millis, Pause, Pauses, Teller};
+use route::{HintFilter, Millis, PauseKind, PauseTracker};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
@@ -47,7 +49,7 @@
     /// Requests that come earlier do not count.
     pub warm_ms: f64,
     /// Which dispatches routers tell the others.
-    pub teller: Teller,
+    pub teller: HintFilter,
     /// What goes wrong, and when.
     pub faults: Vec<(f64, Fault)>,
     /// The seed of all that is random.
@@ -75,7 +77,7 @@
 enum Event {
     Arrive,
     Reach { engine: usize, id: usize },
-    Hear { router: usize, engine: usize, told: Told },
+    Hear { router: usize, engine: usize, told: DispatchHint },
     Step { engine: usize, number: u64 },
     Leave { id: usize },
     Strike(Fault),
@@ -122,8 +124,8 @@
     retries: u32,
     router: usize,
     engine: usize,
-    ticket: Ticket,
-    pauses: Option<Pauses>,
+    ticket: DispatchId,
+    pauses: Option<PauseTracker>,
     last: f64,
     first_ms: f64,
     gap_ms: f64,
@@ -135,8 +137,8 @@
     order: u64,
     events: BinaryHeap<Reverse<Timed>>,
     random: SmallRng,
-    routers: Vec<Places>,
-    tellers: Vec<Teller>,
+    routers: Vec<Placer>,
+    tellers: Vec<HintFilter>,
     engines: Vec<Engine>,
     names: Vec<String>,
     live: HashMap<usize, Live>,
@@ -182,10 +184,10 @@
         let names: Vec<String> = (0..scene.slow.len()).map(|engine| format!("engine-{engine:03}")).collect();
         let centre = |index: usize| format!("dc-{}", index % scene.data_centres);
         let router = |index| {
-            let mut places = Places::new(&centre(index));
+            let mut places = Placer::new(&centre(index));
             for (engine, name) in names.iter().enumerate() {
                 let slots = scene.engine.slots as u32;
-                let site = Site { service: SERVICE.to_owned(), data_centre: centre(engine), slots };
+                let site = UpstreamInfo { service: SERVICE.to_owned(), data_centre: centre(engine), slots };
                 places.set(name, site, false);
             }
             places
@@ -223,7 +225,7 @@
             Event::Arrive => self.arrive(),
             Event::Reach { engine, id } => self.reach(engine, id),
             Event::Hear { router, engine, told } => {
-                self.routers[router].hear(&self.names[engine], &told, self.now as Millis);
+                self.routers[router].hear_dispatch(&self.names[engine], &told, self.now as Millis);
             }
             Event::Step { engine, number } => self.end_step(engine, number),
             Event::Leave { id } => self.leave(id),
@@ -275,7 +277,7 @@
         if !self.watch.admits_deadly(router, self.now) {
             return;
         }
-        let need = Need { service: SERVICE, prompt: None, avoid: &[] };
+        let need = PlacementRequest { service: SERVICE, prompt: None, avoid: &[] };
         let Some(chosen) = self.routers[router].choose(&need, self.now as Millis) else { return };
         let engine = self.names.iter().position(|name| *name == chosen.upstream).unwrap_or(0);
         self.push(self.now + deadly::BEGINS_MS, Event::BeginDeadly { router, engine });
@@ -325,7 +327,7 @@
         let data_centre = format!("dc-{}", engine % self.scene.data_centres);
         for router in &mut self.routers {
             router.forget(&self.names[engine]);
-            let site = Site { service: SERVICE.to_owned(), data_centre: data_centre.clone(), slots };
+            let site = UpstreamInfo { service: SERVICE.to_owned(), data_centre: data_centre.clone(), slots };
             router.set(&self.names[engine], site, false);
         }
     }
@@ -341,9 +343,9 @@
         self.push(self.now + DIVIDE_MS, Event::Divide);
         let now = self.now as Millis;
         let Some((first, others)) = self.routers.split_first_mut() else { return };
-        for (service, short) in first.divide(now) {
+        for (service, short) in first.adapt_divisions(now) {
             for other in others.iter_mut() {
-                other.follow(service, short);
+                other.follow_division(service, short);
             }
         }
     }
@@ -369,8 +371,8 @@
 
     fn dispatch_as(&mut self, request: Request, router: usize, number: u64, retries: u32) {
         let kind = &self.scene.kinds[request.kind];
-        let parts: Vec<Part> =
-            request.parts.iter().map(|part| Part { id: part.id, tokens: part.tokens as u32 }).collect();
+        let parts: Vec<PromptPart> =
+            request.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens as u32 }).collect();
         let prompt = Prompt {
             parts: &parts,
             input: request.parts.iter().map(|part| part.tokens).sum(),
@@ -378,7 +380,7 @@
             target_ms: kind.target_ms,
             gap_ms: kind.gap_ms,
         };
-        let need = Need { service: SERVICE, prompt: Some(prompt), avoid: &[] };
+        let need = PlacementRequest { service: SERVICE, prompt: Some(prompt), avoid: &[] };
         let now = self.now as Millis;
         let places = &mut self.routers[router];
         let Some(chosen) = places.choose(&need, now) else { return };
@@ -405,12 +407,12 @@
         self.push(self.now + wait_ms, Event::Leave { id });
     }
 
-    fn tell(&mut self, from: usize, engine: usize, chosen: &Chosen) {
+    fn tell(&mut self, from: usize, engine: usize, chosen: &Placement) {
         let count = self.routers.len() as u64;
-        if !self.tellers[from].tells(chosen.uncached, count, self.now as Millis) {
+        if !self.tellers[from].should_send(chosen.uncached, count, self.now as Millis) {
             return;
         }
-        let told = self.routers[from].tell(chosen);
+        let told = self.routers[from].take_hint(chosen);
         self.outcome.told += count - 1;
         for router in (0..self.routers.len()).filter(|router| *router != from) {
             let told = told.clone();
@@ -427,7 +429,7 @@
         self.outcome.signals.refused += 1;
         let is_new = self.told_rest.insert((engine, router));
         self.outcome.signals.refused_again += u64::from(!is_new);
-        self.routers[router].rest(&self.names[engine], left as Millis, self.now as Millis);
+        self.routers[router].back_off(&self.names[engine], left as Millis, self.now as Millis);
         true
     }
 
@@ -483,20 +485,20 @@
         let (name, now) = (&self.names[live.engine], self.now as Millis);
         match &mut live.pauses {
             None => {
-                live.pauses = Some(Pauses::new(self.now));
+                live.pauses = Some(PauseTracker::new(self.now));
                 live.first_ms = self.now - live.request.arrived;
                 if let Some(told) = &mut self.leaving[live.engine] {
                     told.insert(live.router);
-                    places.leave(name, now);
+                    places.mark_leaving(name, now);
                 }
-                places.read(name, live.ticket, now);
+                places.record_first_answer(name, live.ticket, now);
             }
             Some(pauses) => {
                 live.gap_ms = live.gap_ms.max(self.now - live.last);
-                match pauses.next(self.now) {
-                    Pause::Quiet(ms) => places.quiet(name, ms),
-                    Pause::Long(ms) => places.pause(name, ms, now),
-                    Pause::Usual => {}
+                match pauses.record(self.now) {
+                    PauseKind::Baseline(ms) => places.record_baseline_pause(name, ms),
+                    PauseKind::Long(ms) => places.record_pause(name, ms, now),
+                    PauseKind::Normal => {}
                 }
             }
         }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, HeaderName, Request, StatusCode, Uri};
 use http_body_util::BodyExt;
 use hyper::body::{Bytes, Incoming};
-use route::place::Chosen;
+use route::placement::Placement;
 use std::pin::pin;
 use std::time::Duration;
 use store::rows::Rows;
@@ -62,7 +62,7 @@
     /// Dispatches the request and waits for the first answer.
     pub(crate) async fn attempt(
         &self,
-        chosen: &Chosen,
+        chosen: &Placement,
         splitter: &mut Splitter,
         after_event: Option<u64>,
         may_move: bool,
@@ -79,7 +79,7 @@
             chosen.first_ms,
             chosen.uncached,
             chosen.is_long,
-            chosen.is_kept,
+            chosen.is_reserved,
             chosen.open,
             chosen.candidates,
             after_event,
@@ -95,7 +95,7 @@
             return First::Withdrawn("it accepts no more requests now".to_owned());
         };
         if self.request.ask.prompt.is_some() && node.hints.tells(chosen.uncached, node.now()) {
-            let told = node.places().tell(chosen);
+            let told = node.places().take_hint(chosen);
             node.hints.tell(&chosen.upstream, told);
         }
         let most = node.connections(all);
@@ -114,7 +114,7 @@
 
     async fn await_first(
         &self,
-        chosen: &Chosen,
+        chosen: &Placement,
         seat: Seat<W, S>,
         splitter: &mut Splitter,
         may_move: bool,
@@ -131,7 +131,7 @@
         let (first, seat) = match early {
             Some(done) => done,
             None if may_move && self.kind().is_repeatable() && !self.remaining().is_zero() => {
-                self.node.places().err(&chosen.upstream);
+                self.node.places().record_error(&chosen.upstream);
                 return First::Lost(format!("no answer within {} ms", patience.as_millis()));
             }
             None => {
@@ -151,7 +151,7 @@
         }
     }
 
-    fn patience(&self, chosen: &Chosen) -> Duration {
+    fn patience(&self, chosen: &Placement) -> Duration {
         let factor = match self.kind() {
             Kind::Idempotent => CALL_PATIENCE,
             Kind::ResumableStream => STREAM_PATIENCE,
@@ -206,7 +206,7 @@
     fn heed(&self, seat: &Seat<W, S>, head: &response::Parts, reply: Reply) {
         let node = &self.node;
         let upstream = seat.upstream.as_str();
-        if node.wire.leaves(head) && node.places().leave(upstream, node.now()) {
+        if node.wire.leaves(head) && node.places().mark_leaving(upstream, node.now()) {
             log::info!(
                 "upstream: event=leaves upstream={upstream} told-by=answer request={}",
                 self.request.ask.id
@@ -220,7 +220,7 @@
             node.places().warm_up(upstream, ms, node.now());
         }
         if let Some(asked_ms) = self.value_or_warn(upstream, node.wire.rest_ms(head)) {
-            let ms = node.places().rest(upstream, asked_ms, node.now());
+            let ms = node.places().back_off(upstream, asked_ms, node.now());
             log::info!(
                 "upstream: event=rests upstream={upstream} ms={ms} asked-ms={asked_ms} request={}",
                 self.request.ask.id
@@ -334,28 +334,28 @@
     }
 
     /// Takes what a dispatch led to into the picture of its upstream.
-    fn judge(&self, chosen: &Chosen, began: u64, first: &First<W, S>) {
+    fn judge(&self, chosen: &Placement, began: u64, first: &First<W, S>) {
         let now = self.node.now();
         let mut places = self.node.places();
         let ejected = match first {
             First::Whole(..) => {
                 let pace = (!self.kind().is_stream()).then_some((now - began) as f64);
-                places.succeed(&chosen.upstream, pace);
+                places.record_success(&chosen.upstream, pace);
                 false
             }
             First::Stream(..) => {
-                places.succeed(&chosen.upstream, None);
+                places.record_success(&chosen.upstream, None);
                 false
             }
             First::Erred(..) => {
-                places.err(&chosen.upstream);
+                places.record_error(&chosen.upstream);
                 false
             }
             First::Withdrawn(_) => false,
             // It said itself how long it wants nothing: that takes the place of a guess.
             First::NotRun(_) if !places.admits(&chosen.upstream, now) => false,
             First::NotRun(_) | First::Broken(_) | First::Lost(_) | First::TimedOut => {
-                places.fail(&chosen.upstream, now)
+                places.record_failure(&chosen.upstream, now)
             }
         };
         drop(places);
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -122,7 +122,7 @@
         let detail = format!("team={team} route={} {version} fingerprint={fingerprint}", route.name);
         return Err(refused(refusal, &detail));
     }
-    node.window(&service, |window, now| window.request(now));
+    node.window(&service, |window, now| window.record_request(now));
     let reservation = match reserve(node, &manifest, &route, &service, team.as_deref(), &ask).await {
         Ok(reservation) => reservation,
         Err((denied, ready_ms, detail)) => {
@@ -265,7 +265,7 @@
         let service = &self.request.service;
         let chance = xxh3_64(self.request.ask.id.as_bytes()) as f64 / u64::MAX as f64;
         let (is_allowed, count) =
-            self.node.window(service, |window, now| (window.repeat(now, chance), window.count(now)));
+            self.node.window(service, |window, now| (window.try_repeat(now, chance), window.count(now)));
         let event = match is_allowed {
             true => "repeat",
             false => "repeat-denied",
@@ -273,8 +273,8 @@
         log::warn!(
             "request: id={} event={event} reason={reason} service={service} left={:.1} of={:.1} requests={} gateways={}",
             self.request.ask.id,
-            count.left,
-            count.most,
+            count.available,
+            count.capacity,
             count.requests,
             self.node.fleet_size(),
         );
@@ -290,7 +290,7 @@
         if self.tries().ran > 0 {
             return None;
         }
-        let rest_ms = self.node.places().rests_ms(&self.request.service, self.node.now())?;
+        let rest_ms = self.node.places().wait_ms(&self.request.service, self.node.now())?;
         Some(Refusal::Resting(route::return_ms(rest_ms, xxh3_64(self.request.ask.id.as_bytes()))))
     }
 
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -7,9 +7,9 @@
 use crate::node::Node;
 use crate::ports::Wire;
 use bincode::Options;
-use route::place::Told;
+use route::placement::DispatchHint;
 use route::word::{Audience, Bound, Word, deciders};
-use route::{Millis, Teller};
+use route::{HintFilter, Millis};
 use serde::{Deserialize, Serialize};
 use smol::net::UdpSocket;
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 enum Hint {
     /// A dispatch.
-    Dispatch { upstream: String, told: Told },
+    Dispatch { upstream: String, told: DispatchHint },
     /// The engines of a service that are kept for short work, from the gateway that decides on it.
     Division { service: String, short: Vec<String> },
     /// What is known of a request that ends upstreams.
@@ -78,7 +78,7 @@
 pub(crate) struct Hints {
     socket: Mutex<Option<Arc<UdpSocket>>>,
     peers: Mutex<Arc<Vec<SocketAddr>>>,
-    teller: Mutex<Teller>,
+    teller: Mutex<HintFilter>,
     bound: Mutex<Bound>,
     next: Mutex<u64>,
     /// The last number of each peer.
@@ -112,11 +112,11 @@
     /// Whether the others are told of a dispatch whose engine has to read so many tokens.
     pub(crate) fn tells(&self, unread: u32, now: Millis) -> bool {
         let gateways = self.peers.lock().expect("the peers' lock").len() as u64 + 1;
-        self.teller.lock().expect("the teller's lock").tells(unread, gateways, now)
+        self.teller.lock().expect("the teller's lock").should_send(unread, gateways, now)
     }
 
     /// Tells the others of the dispatch of a prompt.
-    pub(crate) fn tell(&self, upstream: &str, told: Told) {
+    pub(crate) fn tell(&self, upstream: &str, told: DispatchHint) {
         self.send(Hint::Dispatch { upstream: upstream.to_owned(), told });
     }
 
@@ -228,7 +228,7 @@
     let [VERSION, rest @ ..] = bytes else { return Err(Unfit::Unreadable) };
     let hint: Numbered = options().deserialize(rest).map_err(|_| Unfit::Unreadable)?;
     match &hint.hint {
-        Hint::Dispatch { told, .. } if !told.is_sound() => Err(Unfit::Unreadable),
+        Hint::Dispatch { told, .. } if !told.is_plausible() => Err(Unfit::Unreadable),
         Hint::Quarantine(word) if !word.is_sound() => Err(Unfit::Unreadable),
         Hint::Limit { per_s: Some(per_s), .. } if !(per_s.is_finite() && *per_s >= 0.0) => {
             Err(Unfit::Unreadable)
@@ -252,7 +252,9 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => match node.hints.accept(&buffer[..length], from) {
-                Ok(Hint::Dispatch { upstream, told }) => node.places().hear(&upstream, &told, node.now()),
+                Ok(Hint::Dispatch { upstream, told }) => {
+                    node.places().hear_dispatch(&upstream, &told, node.now())
+                }
                 Ok(Hint::Division { service, short }) => node.follow_division(&service, &short),
                 Ok(Hint::Quarantine(word)) => crate::quarantine::hear(&node, &word),
                 Ok(Hint::Leaving { upstream, started }) => hear_leaving(&node, &upstream, started),
@@ -275,7 +277,7 @@
 /// Takes in that an upstream leaves, if it is the life that is listed here.
 fn hear_leaving<W: Wire, S: Rows>(node: &Node<W, S>, upstream: &str, started: Option<u64>) {
     let is_meant = node.listings().get(upstream).is_some_and(|listing| listing.started == started);
-    if is_meant && node.places().leave(upstream, node.now()) {
+    if is_meant && node.places().mark_leaving(upstream, node.now()) {
         log::info!("upstream: event=leaves upstream={upstream} told-by=gateway");
     }
 }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -7,7 +7,7 @@
 use http::request::Parts;
 use hyper::body::Bytes;
 use route::Millis;
-use route::place::{self, Chosen, Need, Ticket};
+use route::placement::{self, DispatchId, Placement, PlacementRequest};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use store::rows::Rows;
@@ -77,16 +77,17 @@
     }
 
     /// Chooses an upstream that was not tried before.
-    pub(crate) fn choose(&self) -> Option<Chosen> {
+    pub(crate) fn choose(&self) -> Option<Placement> {
         let tries = self.tries();
-        let need = Need { service: &self.request.service, prompt: self.prompt(), avoid: &tries.avoid };
+        let need =
+            PlacementRequest { service: &self.request.service, prompt: self.prompt(), avoid: &tries.avoid };
         self.node.places().choose(&need, self.node.now())
     }
 
     /// The prompt as the choice of an upstream sees it.
-    fn prompt(&self) -> Option<place::Prompt<'_>> {
+    fn prompt(&self) -> Option<placement::Prompt<'_>> {
         let route = &self.request.route;
-        self.request.ask.prompt.as_ref().map(|prompt| place::Prompt {
+        self.request.ask.prompt.as_ref().map(|prompt| placement::Prompt {
             parts: &prompt.parts,
             input: prompt.input,
             events: prompt.expected_output().div_ceil(self.stride().max(1)),
@@ -151,13 +152,13 @@
     pub upstream: String,
     /// When the request was dispatched.
     pub dispatched: Millis,
-    ticket: Ticket,
+    ticket: DispatchId,
     is_read: bool,
 }
 
 impl<W: Wire, S: Rows> Seat<W, S> {
     /// Returns `None` if the upstream accepts no more requests now, because others were dispatched since it was chosen.
-    pub(crate) fn take(job: &Job<W, S>, chosen: &Chosen) -> Option<Seat<W, S>> {
+    pub(crate) fn take(job: &Job<W, S>, chosen: &Placement) -> Option<Seat<W, S>> {
         let node = job.node.clone();
         let now = node.now();
         let mut places = node.places();
@@ -172,7 +173,7 @@
     /// Notes that the prompt was read: the first answer came.
     pub(crate) fn read(&mut self) {
         if !std::mem::replace(&mut self.is_read, true) {
-            self.node.places().read(&self.upstream, self.ticket, self.node.now());
+            self.node.places().record_first_answer(&self.upstream, self.ticket, self.node.now());
         }
     }
 }
@@ -191,14 +192,14 @@
 
 impl<'a, W: Wire, S: Rows> Overdue<'a, W, S> {
     pub(crate) fn new(node: &'a Node<W, S>, upstream: &'a str) -> Overdue<'a, W, S> {
-        node.places().overdue(upstream, true);
+        node.places().set_overdue(upstream, true);
         Overdue { node, upstream }
     }
 }
 
 impl<W: Wire, S: Rows> Drop for Overdue<'_, W, S> {
     fn drop(&mut self) {
-        self.node.places().overdue(self.upstream, false);
+        self.node.places().set_overdue(self.upstream, false);
     }
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -192,7 +192,7 @@
                 node.metrics.tokens.with_label_values(&[team.as_str(), state]).set(tokens as i64);
             }
         }
-        for (upstream, open) in node.places().open() {
+        for (upstream, open) in node.places().open_requests() {
             node.metrics.upstream_open.with_label_values(&[upstream]).set(i64::from(open));
         }
     }
@@ -204,7 +204,8 @@
     for (service, model, usual) in places.models() {
         let slowness: Vec<String> =
             places.slowness(service).iter().map(|(name, slowness)| format!("{name}:{slowness:.2}")).collect();
-        let harm = places.harm(service, node.now()).map_or("-".to_owned(), |share| format!("{share:.2}"));
+        let harm =
+            places.late_share(service, node.now()).map_or("-".to_owned(), |share| format!("{share:.2}"));
         log::info!(
             "upstream: event=model service={service} {model} event-ms={usual:.1} late-beside-reads={harm} slowness={}",
             slowness.join(",")
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -156,7 +156,7 @@
 /// Divides the engines anew between long and short work.
 fn divide<W: Wire, S: Rows>(node: &Node<W, S>) -> BTreeMap<String, Vec<String>> {
     let mut places = node.places();
-    let divisions = places.divide(node.now()).filter(|(_, short)| !short.is_empty());
+    let divisions = places.adapt_divisions(node.now()).filter(|(_, short)| !short.is_empty());
     divisions.map(|(service, short)| (service.to_owned(), short.to_vec())).collect()
 }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -14,9 +14,9 @@
 use budget::ledger::Level;
 use event_listener::Event;
 use net::{Clock, Pool};
-use route::place::Places;
+use route::placement::Placer;
 use route::quarantine::Quarantine;
-use route::{Millis, Terms, Window};
+use route::{Millis, RepeatBound, RepeatWindow};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering};
@@ -73,10 +73,10 @@
     manifest: RwLock<Option<Arc<Manifest>>>,
     /// How far the read of the next manifest has come.
     manifest_read: Mutex<Progress>,
-    places: Mutex<Places>,
+    places: Mutex<Placer>,
     quarantine: Mutex<Quarantine>,
     listings: Mutex<HashMap<String, Listing>>,
-    windows: Mutex<HashMap<String, Window>>,
+    windows: Mutex<HashMap<String, RepeatWindow>>,
     purses: Mutex<HashMap<String, Arc<Purse>>>,
     phase: AtomicU8,
     note: async_channel::Sender<()>,
@@ -100,7 +100,7 @@
             owners: Owners::new(&settings.name, settings.cores()),
             delegate: Arc::new(Delegate::new(&holder)),
             holder,
-            places: Mutex::new(Places::new(&settings.data_centre)),
+            places: Mutex::new(Placer::new(&settings.data_centre)),
             wire,
             rows: Counted::new(failover.clone(), &metrics),
             failover,
@@ -188,7 +188,7 @@
         true
     }
 
-    pub(crate) fn places(&self) -> MutexGuard<'_, Places> {
+    pub(crate) fn places(&self) -> MutexGuard<'_, Placer> {
         self.places.lock().expect("the places' lock")
     }
 
@@ -198,7 +198,7 @@
 
     /// Follows the gateway that decides which engines of a service are kept for short work.
     pub(crate) fn follow_division(&self, service: &str, short: &[String]) {
-        if self.places().follow(service, short) {
+        if self.places().follow_division(service, short) {
             log::info!("upstream: event=divided service={service} kept-for-short={}", short.join(","));
         }
     }
@@ -244,17 +244,17 @@
     }
 
     /// Uses the window of repeats of a service.
-    pub(crate) fn window<T>(&self, service: &str, act: impl FnOnce(&mut Window, Millis) -> T) -> T {
+    pub(crate) fn window<T>(&self, service: &str, act: impl FnOnce(&mut RepeatWindow, Millis) -> T) -> T {
         let now = self.now();
         let bounds = &self.settings.bounds;
         let mut windows = self.windows.lock().expect("the windows' lock");
         if !windows.contains_key(service) {
-            let terms = Terms {
+            let terms = RepeatBound {
                 ratio: bounds.retry_ratio,
                 extra: bounds.retry_extra,
                 length: (bounds.retry_window_s * 1_000.0) as Millis,
             };
-            windows.insert(service.to_owned(), Window::new(terms, 0));
+            windows.insert(service.to_owned(), RepeatWindow::new(terms, 0));
         }
         let window = windows.get_mut(service).expect("the window was just added");
         window.set_routers(crate::members::known(self));
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -5,12 +5,12 @@
 
 use crate::manifest::Manifest;
 use http::{HeaderMap, request, response};
-use route::place::Part;
+use route::placement::PromptPart;
 use smallvec::SmallVec;
 use std::net::SocketAddr;
 
 /// Parts of a prompt, usually a few.
-pub type Parts = SmallVec<[Part; 4]>;
+pub type Parts = SmallVec<[PromptPart; 4]>;
 
 /// A caller's request, decoded.
 #[derive(Clone, Debug, Default)]
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -152,7 +152,7 @@
     exec::sleep(PROBE_PAUSE).await;
     let reach = net::probe(address, PROBE_LIMIT).await;
     let LostRun { upstream, request, fingerprint, begun_ms } = &lost;
-    let is_leaving = node.places().leaves(upstream);
+    let is_leaving = node.places().is_leaving(upstream);
     log::warn!(
         "upstream: event=run-lost upstream={upstream} address={} request={request} fingerprint={fingerprint} begun-ms={begun_ms:?} leaving={is_leaving}",
         reach.name()
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use http_body::Body as _;
 use hyper::body::Bytes;
 use net::exec;
-use route::{Millis, Pause, Pauses};
+use route::{Millis, PauseKind, PauseTracker};
 use smol::Timer;
 use std::io;
 use std::pin::Pin;
@@ -39,7 +39,7 @@
     /// When the run that it comes from now gave its first answer.
     run_began: Millis,
     gap: Millis,
-    pauses: Pauses,
+    pauses: PauseTracker,
 }
 
 enum State<W: Wire, S: Rows> {
@@ -75,7 +75,7 @@
         let ms = now.saturating_sub(job.request.arrived);
         job.node.metrics.first.with_label_values(&[&job.request.route.name]).observe(ms as f64 / 1_000.0);
         meter.pass(splitter.count());
-        let pauses = Pauses::new(job.node.now_exact());
+        let pauses = PauseTracker::new(job.node.now_exact());
         Relay {
             job,
             state: State::Flowing(flow),
@@ -149,17 +149,17 @@
     fn observe(&mut self) {
         let State::Flowing(flow) = &self.state else { return };
         let upstream = &flow.seat.upstream;
-        match self.pauses.next(self.job.node.now_exact()) {
-            Pause::Quiet(ms) => self.job.node.places().quiet(upstream, ms),
-            Pause::Long(ms) => self.job.node.places().pause(upstream, ms, self.job.node.now()),
-            Pause::Usual => {}
+        match self.pauses.record(self.job.node.now_exact()) {
+            PauseKind::Baseline(ms) => self.job.node.places().record_baseline_pause(upstream, ms),
+            PauseKind::Long(ms) => self.job.node.places().record_pause(upstream, ms, self.job.node.now()),
+            PauseKind::Normal => {}
         }
     }
 
     fn complete(&mut self) -> Turn {
         let rest = self.splitter.take_rest();
         if let State::Flowing(flow) = std::mem::replace(&mut self.state, State::Ended) {
-            self.job.node.places().succeed(&flow.seat.upstream, None);
+            self.job.node.places().record_success(&flow.seat.upstream, None);
             self.job.outlived();
             flow.lease.keep();
         }
@@ -192,7 +192,7 @@
         // The run there must have ended before another one begins.
         drop(flow);
         let now = self.job.node.now();
-        self.job.node.places().fail(&upstream, now);
+        self.job.node.places().record_failure(&upstream, now);
         if self.job.kind() != Kind::ResumableStream {
             return Turn::Fail(reason.to_owned());
         }
@@ -231,7 +231,7 @@
         };
         self.heard = self.job.node.now();
         self.run_began = self.heard;
-        self.pauses = Pauses::new(self.job.node.now_exact());
+        self.pauses = PauseTracker::new(self.job.node.now_exact());
         self.splitter = resumed.splitter;
         self.meter.pass(self.splitter.count());
         self.state = State::Flowing(resumed.flow);
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -9,7 +9,7 @@
 use crate::table::{RECALLS, Recall, decode};
 use net::exec;
 use route::Millis;
-use route::place::Site;
+use route::placement::UpstreamInfo;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -428,7 +428,7 @@
             listing.leaving
         );
     }
-    let site = Site {
+    let site = UpstreamInfo {
         service: listing.service.clone(),
         data_centre: listing.data_centre.clone(),
         slots: listing.slots,
--- a/crates/gateway/tests/unit/hints.rs
+++ b/crates/gateway/tests/unit/hints.rs
@@ -3,20 +3,20 @@
 use super::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use route::place::Sent;
+use route::placement::DispatchTotals;
 use route::quarantine::Fingerprint;
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn told() -> Told {
-    Told {
+fn told() -> DispatchHint {
+    DispatchHint {
         unread: 12_000,
         lasts_ms: 1_900.0,
         event_ms: Some(48.0),
         pauses_ms: [400_u16, 700].into_iter().collect(),
-        since: Sent { long: 12_000, short: 900, streams: 4 },
+        since: DispatchTotals { long: 12_000, short: 900, streams: 4 },
     }
 }
 
@@ -130,7 +130,7 @@
             }
         }
         if let Ok(Hint::Dispatch { told, .. }) = listening().accept(&bytes, address(1)) {
-            assert!(told.is_sound(), "{told:?}");
+            assert!(told.is_plausible(), "{told:?}");
             assert!(told.lasts_ms.is_finite() && told.unread <= 4_000_000, "{told:?}");
         }
     }
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -148,14 +148,18 @@
         };
         state("it leaves", 100, true).await;
         for _ in 0..3 {
-            node.places().fail("engine-1", node.now());
+            node.places().record_failure("engine-1", node.now());
         }
-        let standing = || node.places().standing("engine-1", node.now());
-        assert_eq!(standing(), Some(route::Standing::Ejected));
+        let standing = || node.places().health_status("engine-1", node.now());
+        assert_eq!(standing(), Some(route::HealthStatus::Ejected));
 
         put(&rows, &format!("engines {address} started=200"));
         state("it started again", 200, false).await;
-        assert_eq!(standing(), Some(route::Standing::Fit), "its failures were those of an earlier life");
+        assert_eq!(
+            standing(),
+            Some(route::HealthStatus::Healthy),
+            "its failures were those of an earlier life"
+        );
 
         put(&rows, &format!("engines {address} leaving started=100"));
         exec::sleep(Duration::from_millis(300)).await;
--- a/crates/route/examples/told.rs
+++ b/crates/route/examples/told.rs
@@ -3,7 +3,7 @@
 //! Plays 845 prompts a second on 160 engines, three seeds for each number of dispatches that a router hears of in a second.
 
 use emulator::{Outcome, Scene, plains, play};
-use route::Teller;
+use route::HintFilter;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
@@ -13,7 +13,7 @@
         return eprintln!("usage: told ROUTERS PER_S...");
     };
     for rate in rates {
-        let teller = Teller::with_rates(*rate, *rate);
+        let teller = HintFilter::with_rates(*rate, *rate);
         let scene = |seed| Scene { teller, ..plains(seed, *routers as usize) };
         let outcomes: Vec<Outcome> = SEEDS.map(|seed| play(&scene(seed))).collect();
         let mean =
--- a/crates/route/src/engine.rs
+++ b/crates/route/src/engine.rs
@@ -117,7 +117,7 @@
 }
 
 /// The usual pace: the middle of those that are known.
-pub(crate) fn usual(paces: impl Iterator<Item = Pace>) -> f64 {
+pub(crate) fn median_pace(paces: impl Iterator<Item = Pace>) -> f64 {
     let mut known: smallvec::SmallVec<[f64; 32]> = paces.filter_map(|pace| pace.quiet()).collect();
     if known.is_empty() {
         return QUIET_MS;
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -3,23 +3,23 @@
 use crate::Millis;
 
 /// Failures in a row after which an upstream is ejected.
-const FAILURES: u32 = 3;
+const EJECTION_FAILURES: u32 = 3;
 /// The first ejection's length; it doubles with each further one.
-const EJECTION: Millis = 1_000;
+const EJECTION_MS: Millis = 1_000;
 /// The longest ejection.
-const EJECTION_MOST: Millis = 30_000;
+const MAX_EJECTION_MS: Millis = 30_000;
 /// The time after which one failure is forgotten.
-const FORGET: Millis = 1_000;
+const FAILURE_EXPIRY_MS: Millis = 1_000;
 /// Successes after which an upstream that returned is trusted with its whole limit.
-const PROBATION: u32 = 8;
+const PROBATION_SUCCESSES: u32 = 8;
 /// The weight of a new sample in the average gap between tokens.
-const SAMPLE: f64 = 0.05;
+const GAP_WEIGHT: f64 = 0.05;
 
 /// An upstream's standing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
-    /// Fit.
-    Fit,
+pub enum HealthStatus {
+    /// Healthy.
+    Healthy,
     /// Back from an ejection: at most so many runs at once.
     Probation(u32),
     /// Ejected.
@@ -29,67 +29,68 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     failures: u32,
-    failed: Millis,
+    last_failure: Millis,
     ejections: u32,
-    until: Millis,
-    proven: u32,
+    ejected_until: Millis,
+    probation_successes: u32,
     on_probation: bool,
-    gap: f64,
+    gap_ms: f64,
 }
 
 impl Health {
-    pub(crate) fn standing(&self, now: Millis) -> Standing {
-        if now < self.until {
-            Standing::Ejected
+    pub(crate) fn status(&self, now: Millis) -> HealthStatus {
+        if now < self.ejected_until {
+            HealthStatus::Ejected
         } else if self.on_probation {
-            Standing::Probation(1 + self.proven)
+            HealthStatus::Probation(1 + self.probation_successes)
         } else {
-            Standing::Fit
+            HealthStatus::Healthy
         }
     }
 
-    pub(crate) fn succeed(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.failures = 0;
         if self.on_probation {
-            self.proven += 1;
-            if self.proven >= PROBATION {
-                *self = Health { gap: self.gap, ..Health::default() };
+            self.probation_successes += 1;
+            if self.probation_successes >= PROBATION_SUCCESSES {
+                *self = Health { gap_ms: self.gap_ms, ..Health::default() };
             }
         }
     }
 
     /// Notes a failure; `true` if it should be ejected now.
-    pub(crate) fn fail(&mut self, now: Millis) -> bool {
+    pub(crate) fn record_failure(&mut self, now: Millis) -> bool {
         self.failures += 1;
-        self.failed = now;
-        self.failures >= FAILURES || self.on_probation
+        self.last_failure = now;
+        self.failures >= EJECTION_FAILURES || self.on_probation
     }
 
     /// Failures in a row that are still held against it: each is forgotten after a while, so that an
     /// upstream which can't be ejected is tried again.
     pub(crate) fn recent_failures(&self, now: Millis) -> u32 {
-        let forgotten = now.saturating_sub(self.failed) / FORGET;
-        self.failures.saturating_sub(forgotten as u32)
+        let expired = now.saturating_sub(self.last_failure) / FAILURE_EXPIRY_MS;
+        self.failures.saturating_sub(expired as u32)
     }
 
     /// Ejects it until the time that is returned; `spared` ones come back after the shortest time.
-    pub(crate) fn eject(&mut self, now: Millis, spared: bool) -> Millis {
-        let doublings = if spared { 0 } else { self.ejections.min(10) };
-        self.until = now + (EJECTION << doublings).min(EJECTION_MOST);
+    pub(crate) fn eject(&mut self, now: Millis, is_shortened: bool) -> Millis {
+        let doublings = if is_shortened { 0 } else { self.ejections.min(10) };
+        self.ejected_until = now + (EJECTION_MS << doublings).min(MAX_EJECTION_MS);
         self.ejections += 1;
         self.failures = 0;
-        self.proven = 0;
+        self.probation_successes = 0;
         self.on_probation = true;
-        self.until
+        self.ejected_until
     }
 
     /// Notes the average gap between a run's tokens.
-    pub(crate) fn pace(&mut self, gap: f64) {
-        self.gap = if self.gap == 0.0 { gap } else { self.gap + SAMPLE * (gap - self.gap) };
+    pub(crate) fn record_gap(&mut self, gap_ms: f64) {
+        self.gap_ms =
+            if self.gap_ms == 0.0 { gap_ms } else { self.gap_ms + GAP_WEIGHT * (gap_ms - self.gap_ms) };
     }
 
     /// The average gap between tokens in milliseconds; 0 if none was seen.
-    pub(crate) fn gap(&self) -> f64 {
-        self.gap
+    pub(crate) fn token_gap_ms(&self) -> f64 {
+        self.gap_ms
     }
 }
--- a/crates/route/src/teller.rs
+++ b/crates/route/src/hint_filter.rs
@@ -26,7 +26,7 @@
 
 /// Decides which dispatches are told.
 #[derive(Clone, Copy, Debug)]
-pub struct Teller {
+pub struct HintFilter {
     all_per_s: f64,
     longest_per_s: f64,
     /// Prompts from so many tokens on are told.
@@ -37,20 +37,20 @@
     began: Option<Millis>,
 }
 
-impl Default for Teller {
-    fn default() -> Teller {
-        Teller::with_rates(ALL_PER_S, LONGEST_PER_S)
+impl Default for HintFilter {
+    fn default() -> HintFilter {
+        HintFilter::with_rates(ALL_PER_S, LONGEST_PER_S)
     }
 }
 
-impl Teller {
+impl HintFilter {
     /// Lets each router hear of all dispatches up to `all_per_s`, and of the longest `longest_per_s` where there are more.
-    pub fn with_rates(all_per_s: f64, longest_per_s: f64) -> Teller {
-        Teller { all_per_s, longest_per_s, least: FIRST, recent: 0.0, last: 0, began: None }
+    pub fn with_rates(all_per_s: f64, longest_per_s: f64) -> HintFilter {
+        HintFilter { all_per_s, longest_per_s, least: FIRST, recent: 0.0, last: 0, began: None }
     }
 
     /// Whether the others are told of a dispatch whose engine has to read so many tokens, in a fleet of so many routers.
-    pub fn tells(&mut self, unread: u32, routers: u64, now: Millis) -> bool {
+    pub fn should_send(&mut self, unread: u32, routers: u64, now: Millis) -> bool {
         let own_per_s = self.own_per_s(now);
         let fleet_per_s = routers.max(1) as f64 * own_per_s;
         if fleet_per_s <= self.all_per_s {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,55 +1,59 @@
-//! Which upstream a request goes to, and when: pure decisions on what this router knows.
+//! Decides which upstream a request goes to, and when. The decisions perform no I/O and depend only on what
+//! this router knows.
 //!
-//! Time comes in as milliseconds of the caller's monotonic clock, so that tests and benches drive the same
-//! code. [`Board`] chooses the upstream, [`Line`] orders the requests that wait, [`assign`] splits
-//! the upstreams' slots between routers, and [`Budget`] bounds retries.
+//! Times are passed in as milliseconds of the caller's monotonic clock, so that tests and benchmarks run the
+//! same code. [`Pool`] chooses the upstream, [`FairQueue`] orders the waiting requests, [`assign_slots`]
+//! divides the upstreams' slots between routers, and [`RetryBudget`] limits retries.
 //!
 //! ```
-//! use route::{Ask, Board, Pick, Spec};
+//! use route::{Pick, PickRequest, Pool, UpstreamSpec};
 //!
-//! let mut board = Board::new("regina-a");
-//! board.set("engine-1", Spec { data_centre: "regina-a".into(), limit: 1, models: vec!["narrator".into()] });
-//! let ask = Ask { model: "narrator", prefix: 7, avoid: &[] };
-//! let Pick::Take(choice) = board.pick(&ask, 0) else { panic!("one is free") };
+//! let mut pool = Pool::new("regina-a");
+//! let spec = UpstreamSpec { data_centre: "regina-a".into(), limit: 1, models: vec!["narrator".into()] };
+//! pool.set("engine-1", spec);
+//! let request = PickRequest { model: "narrator", prefix: 7, avoid: &[] };
+//! let Pick::Take(choice) = pool.pick(&request, 0) else { panic!("one is free") };
 //! assert_eq!(choice.upstream, "engine-1");
-//! assert!(matches!(board.pick(&ask, 1), Pick::Wait));
+//! assert!(matches!(pool.pick(&request, 1), Pick::Wait));
 //! ```
 
-mod board;
-mod desk;
+mod assignment;
+mod dispatcher;
 mod division;
 mod engine;
 mod harm;
 mod health;
+mod hint_filter;
 mod limit;
-mod line;
-mod pause;
-pub mod place;
+mod pauses;
+pub mod placement;
+mod pool;
 pub mod quarantine;
-mod reads;
-mod retry;
+mod queue;
+mod read_queue;
+mod repeat_window;
+mod retry_budget;
 pub mod roster;
-mod share;
 mod signals;
 mod strain;
-mod teller;
 pub mod warmup;
-mod window;
 pub mod word;
 
-pub use board::{Ask, Board, Choice, Pick, Reason, Report, Spec, View, home};
-pub use desk::{Desk, Entered, Want};
+pub use assignment::{Owners, assign_slots};
+pub use dispatcher::{Dispatcher, SubmitOutcome, SubmitRequest};
 pub use engine::Model;
-pub use health::Standing;
+pub use health::HealthStatus;
+pub use hint_filter::HintFilter;
 pub use limit::LimitUpdate;
-pub use line::{Admit, Line, Ticket};
-pub use pause::{Pause, Pauses};
-pub use retry::Budget;
-pub use share::{Owners, assign};
+pub use pauses::{PauseKind, PauseTracker};
+pub use pool::{
+    Choice, LoadReport, Pick, PickRequest, Pool, Reason, UpstreamSpec, UpstreamStatus, home_upstream,
+};
+pub use queue::{FairQueue, PushOutcome, QueuedRequest};
+pub use repeat_window::{RepeatBound, RepeatCount, RepeatWindow};
+pub use retry_budget::RetryBudget;
 pub use signals::return_ms;
 pub use strain::{Sample, Shift, Strain};
-pub use teller::Teller;
-pub use window::{Count, Terms, Window};
 
 /// A time in milliseconds of a monotonic clock.
 pub type Millis = u64;
--- a/crates/route/src/pause.rs
+++ b/crates/route/src/pauses.rs
@@ -9,7 +9,7 @@
 ///
 /// They are taken in pairs: an engine may put more tokens in one event and fewer in the next.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
+pub struct PauseTracker {
     /// When the last event came, in milliseconds.
     last: f64,
     /// The pause before it, if that was the first of a pair.
@@ -23,23 +23,23 @@
 
 /// What a new event says of its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Pause {
+pub enum PauseKind {
     /// So many milliseconds are the shortest two pauses of a series on average.
-    Quiet(f64),
+    Baseline(f64),
     /// So many milliseconds are more than usual.
     Long(f64),
     /// Nothing new.
-    Usual,
+    Normal,
 }
 
-impl Pauses {
+impl PauseTracker {
     /// The pauses of a stream whose first event came at `now`, in milliseconds.
-    pub fn new(now: f64) -> Pauses {
-        Pauses { last: now, first: None, least: f64::INFINITY, count: 0, quiet: f64::INFINITY }
+    pub fn new(now: f64) -> PauseTracker {
+        PauseTracker { last: now, first: None, least: f64::INFINITY, count: 0, quiet: f64::INFINITY }
     }
 
     /// Takes in that an event came at `now`, in milliseconds.
-    pub fn next(&mut self, now: f64) -> Pause {
+    pub fn record(&mut self, now: f64) -> PauseKind {
         let ms = now - std::mem::replace(&mut self.last, now);
         match self.first.take() {
             Some(first) => self.least = self.least.min((first + ms) / 2.0),
@@ -49,8 +49,8 @@
         if self.count == TOGETHER {
             self.quiet = std::mem::replace(&mut self.least, f64::INFINITY);
             self.count = 0;
-            return Pause::Quiet(self.quiet);
+            return PauseKind::Baseline(self.quiet);
         }
-        if ms > READING * self.quiet { Pause::Long(ms) } else { Pause::Usual }
+        if ms > READING * self.quiet { PauseKind::Long(ms) } else { PauseKind::Normal }
     }
 }
--- a/crates/route/src/place.rs
+++ b/crates/route/src/placement.rs
@@ -12,9 +12,9 @@
 use crate::Millis;
 use crate::division::{Division, Member};
 use crate::engine::{self, Model, Pace};
-use crate::health::{Health, Standing};
+use crate::health::{Health, HealthStatus};
 use crate::limit::LimitUpdate;
-use crate::reads::Reads;
+use crate::read_queue::ReadQueue;
 use crate::roster::Roster;
 use crate::signals::Signals;
 use crate::warmup::{Heat, Warming, Warmup};
@@ -46,7 +46,7 @@
 
 /// A part of a prompt, in the order in which the prompt holds them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Part {
+pub struct PromptPart {
     /// Its identity.
     pub id: u64,
     /// Its length in tokens.
@@ -55,7 +55,7 @@
 
 /// An upstream as the platform lists it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Site {
+pub struct UpstreamInfo {
     /// The service that it runs.
     pub service: String,
     /// Its data centre.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt<'a> {
     /// Its parts, in order.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptPart],
     /// All of its tokens.
     pub input: u64,
     /// Events that are expected to come out.
@@ -81,7 +81,7 @@
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct PlacementRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// The prompt, if it is for an engine.
@@ -92,7 +92,7 @@
 
 /// The chosen upstream, and what decided it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Chosen {
+pub struct Placement {
     /// The upstream.
     pub upstream: String,
     /// The estimate that decided, in milliseconds.
@@ -104,7 +104,7 @@
     /// Whether the prompt is long for the streams beside it.
     pub is_long: bool,
     /// Whether the upstream is kept for short work.
-    pub is_kept: bool,
+    pub is_reserved: bool,
     /// The time between two events while nothing is read there, in milliseconds, if it is known.
     pub event_ms: Option<f64>,
     /// How long the run should last, in milliseconds.
@@ -119,7 +119,7 @@
 
 /// A dispatch, as its router tells the others of it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Told {
+pub struct DispatchHint {
     /// Prompt tokens that have to be read.
     pub unread: u32,
     /// How long the run should last, in milliseconds.
@@ -133,12 +133,12 @@
     pub pauses_ms: SmallVec<[u16; 4]>,
     /// What its router dispatched to the same service since it told the last dispatch, this one included.
     #[serde(default)]
-    pub since: Sent,
+    pub since: DispatchTotals,
 }
 
-impl Told {
+impl DispatchHint {
     /// Whether its figures can be of a dispatch: those of an altered message may be anything.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_plausible(&self) -> bool {
         let is_time = |ms: f64| (0.0..LONGEST_MS).contains(&ms);
         self.unread <= MOST_TOKENS && is_time(self.lasts_ms) && self.event_ms.is_none_or(is_time)
     }
@@ -147,7 +147,7 @@
 /// Dispatches to one service, summed up: not each of them is told, but all count in the load and among the streams that
 /// may be late.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
-pub struct Sent {
+pub struct DispatchTotals {
     /// Tokens of long prompts that had to be read.
     pub long: u32,
     /// Tokens of short ones.
@@ -157,11 +157,11 @@
 }
 
 /// The number of one of this router's dispatches.
-pub type Ticket = u64;
+pub type DispatchId = u64;
 
 /// The upstreams as one router sees them.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct Placer {
     data_centre: String,
     upstreams: BTreeMap<String, Upstream>,
     /// Outlives the upstreams' places in the list.
@@ -172,15 +172,15 @@
     /// The gateways, for the parts that each takes of what upstreams bear while they warm up.
     pub roster: Roster,
     services: HashMap<String, Service>,
-    awaited: HashMap<Ticket, Awaited>,
-    running: HashMap<Ticket, Running>,
-    tickets: Ticket,
+    awaited: HashMap<DispatchId, Awaited>,
+    running: HashMap<DispatchId, Running>,
+    tickets: DispatchId,
 }
 
-impl Places {
+impl Placer {
     /// No upstreams, seen from `data_centre`.
-    pub fn new(data_centre: &str) -> Places {
-        Places {
+    pub fn new(data_centre: &str) -> Placer {
+        Placer {
             data_centre: data_centre.to_owned(),
             upstreams: BTreeMap::new(),
             signals: Signals::default(),
@@ -195,7 +195,7 @@
     }
 
     /// Adds or changes an upstream.
-    pub fn set(&mut self, name: &str, site: Site, leaving: bool) {
+    pub fn set(&mut self, name: &str, site: UpstreamInfo, leaving: bool) {
         match self.upstreams.get_mut(name) {
             Some(upstream) => {
                 upstream.site = site;
@@ -208,7 +208,7 @@
                     leaving,
                     open: 0,
                     overdue: 0,
-                    reads: Reads::default(),
+                    reads: ReadQueue::default(),
                     heard: VecDeque::new(),
                     pace: Pace::default(),
                     failures: 0.0,
@@ -235,12 +235,12 @@
     }
 
     /// Takes in an upstream's word that it leaves; `true` if that is new.
-    pub fn leave(&mut self, name: &str, now: Millis) -> bool {
+    pub fn mark_leaving(&mut self, name: &str, now: Millis) -> bool {
         self.signals.leave(name, now)
     }
 
     /// Takes in that an upstream wants nothing for so many milliseconds; those that it gets.
-    pub fn rest(&mut self, name: &str, ms: Millis, now: Millis) -> Millis {
+    pub fn back_off(&mut self, name: &str, ms: Millis, now: Millis) -> Millis {
         self.signals.rest(name, ms, now)
     }
 
@@ -336,13 +336,13 @@
     }
 
     /// Whether an upstream leaves, by the list or by its own word, or has left: then it ends of its own accord.
-    pub fn leaves(&self, name: &str) -> bool {
+    pub fn is_leaving(&self, name: &str) -> bool {
         self.upstreams.get(name).is_none_or(|upstream| upstream.leaving) || self.signals.leaves(name)
     }
 
     /// The time until the first upstream of a service accepts requests again, in milliseconds, if all of them rest or
     /// have reached their limits; `None` if one accepts requests now, or none is left.
-    pub fn rests_ms(&self, service: &str, now: Millis) -> Option<Millis> {
+    pub fn wait_ms(&self, service: &str, now: Millis) -> Option<Millis> {
         let stays = |(name, upstream): &(&String, &Upstream)| {
             upstream.site.service == service
                 && !upstream.leaving
@@ -357,7 +357,7 @@
     }
 
     /// Chooses the upstream with the least estimated time to a first answer; `None` if nothing serves the need.
-    pub fn choose(&self, need: &Need<'_>, now: Millis) -> Option<Chosen> {
+    pub fn choose(&self, need: &PlacementRequest<'_>, now: Millis) -> Option<Placement> {
         let serving_from = |least: Heat| {
             self.upstreams.iter().filter(move |(name, upstream)| {
                 upstream.site.service == need.service
@@ -392,7 +392,7 @@
             .iter()
             .map(|(name, upstream)| (*name, *upstream, estimate(name, upstream)))
             .min_by(|left, right| left.2.cost.total_cmp(&right.2.cost))?;
-        Some(Chosen {
+        Some(Placement {
             upstream: name.to_owned(),
             cost: estimate.cost,
             uncached: estimate.uncached,
@@ -400,7 +400,7 @@
             lasts_ms: estimate.lasts_ms,
             events_ms: estimate.events_ms,
             is_long: scene.is_some_and(|scene| scene.is_long),
-            is_kept: estimate.is_kept,
+            is_reserved: estimate.is_kept,
             event_ms: upstream.pace.quiet(),
             open: upstream.runs(now),
             candidates: candidates.len(),
@@ -408,7 +408,7 @@
     }
 
     /// Notes a dispatch as it was chosen.
-    pub fn begin(&mut self, chosen: &Chosen, prompt: Option<&Prompt<'_>>, now: Millis) -> Ticket {
+    pub fn begin(&mut self, chosen: &Placement, prompt: Option<&Prompt<'_>>, now: Millis) -> DispatchId {
         self.tickets += 1;
         let ticket = self.tickets;
         if let Some(upstream) = self.upstreams.get_mut(&chosen.upstream) {
@@ -438,7 +438,7 @@
     }
 
     /// Notes another router's dispatch.
-    pub fn hear(&mut self, name: &str, told: &Told, now: Millis) {
+    pub fn hear_dispatch(&mut self, name: &str, told: &DispatchHint, now: Millis) {
         self.push(name, None, told.unread, now);
         if let Some(service) = self.service_of(name) {
             service.load.add(true, told.since.long, now);
@@ -458,7 +458,7 @@
     }
 
     /// Adds a prompt to what an engine has to read; `true` if that was nothing.
-    fn push(&mut self, name: &str, own: Option<Ticket>, unread: u32, now: Millis) -> bool {
+    fn push(&mut self, name: &str, own: Option<DispatchId>, unread: u32, now: Millis) -> bool {
         let usual = self.usual_beside(name, now);
         let Some(upstream) = self.upstreams.get_mut(name) else { return false };
         let service = self.services.entry(upstream.site.service.clone()).or_default();
@@ -469,7 +469,7 @@
     }
 
     /// Notes the first answer of a dispatch: its prompt was read.
-    pub fn read(&mut self, name: &str, ticket: Ticket, now: Millis) {
+    pub fn record_first_answer(&mut self, name: &str, ticket: DispatchId, now: Millis) {
         let usual = self.usual_beside(name, now);
         let awaited = self.awaited.remove(&ticket);
         if let Some(Awaited { events_ms, .. }) = awaited {
@@ -487,7 +487,7 @@
     }
 
     /// Notes the end of a dispatch.
-    pub fn end(&mut self, name: &str, ticket: Ticket, now: Millis) {
+    pub fn end(&mut self, name: &str, ticket: DispatchId, now: Millis) {
         self.awaited.remove(&ticket);
         if let Some(running) = self.running.remove(&ticket)
             && let Some(service) = self.service_of(name)
@@ -501,14 +501,14 @@
     }
 
     /// Notes the shortest of a few times between two events of a stream.
-    pub fn quiet(&mut self, name: &str, ms: f64) {
+    pub fn record_baseline_pause(&mut self, name: &str, ms: f64) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.pace.learn(ms);
         }
     }
 
     /// Notes a long time between two events of a stream, the second of which came just now.
-    pub fn pause(&mut self, name: &str, ms: f64, now: Millis) {
+    pub fn record_pause(&mut self, name: &str, ms: f64, now: Millis) {
         let usual = self.usual_beside(name, now);
         let Some(upstream) = self.upstreams.get(name) else { return };
         let ms = ms / upstream.pace.slowness(usual);
@@ -523,21 +523,21 @@
     }
 
     /// What the other routers should know of a dispatch.
-    pub fn tell(&mut self, chosen: &Chosen) -> Told {
-        let Chosen { uncached: unread, lasts_ms, event_ms, .. } = *chosen;
+    pub fn take_hint(&mut self, chosen: &Placement) -> DispatchHint {
+        let Placement { uncached: unread, lasts_ms, event_ms, .. } = *chosen;
         let service = self.service_of(&chosen.upstream);
         let untold =
             service.map(|Service { untold, sent, .. }| (std::mem::take(untold), std::mem::take(sent)));
         let (pauses_ms, since) = untold.unwrap_or_default();
-        Told { unread, lasts_ms, event_ms, pauses_ms, since }
+        DispatchHint { unread, lasts_ms, event_ms, pauses_ms, since }
     }
 
     /// Adapts the division of each service's engines between long and short work, and names those that are kept for
-    /// short work. One router does so, and the others [`follow`](Places::follow) it.
-    pub fn divide(&mut self, now: Millis) -> impl Iterator<Item = (&str, &[String])> {
+    /// short work. One router does so, and the others [`follow`](Placer::follow) it.
+    pub fn adapt_divisions(&mut self, now: Millis) -> impl Iterator<Item = (&str, &[String])> {
         for (service, known) in &mut self.services {
             let like = || self.upstreams.iter().filter(|(_, upstream)| upstream.site.service == *service);
-            let usual = engine::usual(like().map(|(_, upstream)| upstream.pace));
+            let usual = engine::median_pace(like().map(|(_, upstream)| upstream.pace));
             let serving = like().filter(|(name, upstream)| {
                 let is_evacuated = self.evacuated.contains(&upstream.site.data_centre);
                 !upstream.leaving && !is_evacuated && !self.signals.leaves(name)
@@ -554,7 +554,7 @@
     }
 
     /// Follows another router's division of a service's engines; `true` if that is new.
-    pub fn follow(&mut self, service: &str, short: &[String]) -> bool {
+    pub fn follow_division(&mut self, service: &str, short: &[String]) -> bool {
         let division = &mut self.services.entry(service.to_owned()).or_default().division;
         let is_new = division.short() != short;
         *division = Division::follow(short.to_vec());
@@ -569,7 +569,7 @@
     /// The usual pace of the engines of an upstream's service, as it was a moment ago.
     fn usual_beside(&mut self, name: &str, now: Millis) -> f64 {
         let Some(service) = self.upstreams.get(name).map(|upstream| &upstream.site.service) else {
-            return engine::usual(std::iter::empty());
+            return engine::median_pace(std::iter::empty());
         };
         if let Some(Service { usual: Some((ms, at)), .. }) = self.services.get(service)
             && now.saturating_sub(*at) < USUAL_MS
@@ -577,22 +577,22 @@
             return *ms;
         }
         let like = self.upstreams.values().filter(|other| other.site.service == *service);
-        let ms = engine::usual(like.map(|upstream| upstream.pace));
+        let ms = engine::median_pace(like.map(|upstream| upstream.pace));
         self.services.entry(service.clone()).or_default().usual = Some((ms, now));
         ms
     }
 
     /// Notes that a request is waiting unusually long for its first answer, or that it waits no more.
-    pub fn overdue(&mut self, name: &str, waits: bool) {
+    pub fn set_overdue(&mut self, name: &str, waits: bool) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.overdue = if waits { upstream.overdue + 1 } else { upstream.overdue.saturating_sub(1) };
         }
     }
 
     /// Notes an answer, with the time that it took if it was a plain service's, in milliseconds.
-    pub fn succeed(&mut self, name: &str, call_ms: Option<f64>) {
+    pub fn record_success(&mut self, name: &str, call_ms: Option<f64>) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.health.succeed();
+            upstream.health.record_success();
             upstream.failures -= FAILURE_SAMPLE * upstream.failures;
             if let Some(ms) = call_ms {
                 let sample = if upstream.call_ms == 0.0 { 1.0 } else { PACE_SAMPLE };
@@ -602,17 +602,17 @@
     }
 
     /// Notes that the upstream answered with a failure of its own: it is reachable, but does its work badly.
-    pub fn err(&mut self, name: &str) {
+    pub fn record_error(&mut self, name: &str) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.failures += FAILURE_SAMPLE * (1.0 - upstream.failures);
         }
     }
 
     /// Notes that the upstream could not be reached or broke off; `true` if it is ejected for it.
-    pub fn fail(&mut self, name: &str, now: Millis) -> bool {
+    pub fn record_failure(&mut self, name: &str, now: Millis) -> bool {
         let Some(upstream) = self.upstreams.get_mut(name) else { return false };
         upstream.failures += FAILURE_SAMPLE * (1.0 - upstream.failures);
-        if !upstream.health.fail(now) {
+        if !upstream.health.record_failure(now) {
             return false;
         }
         let until = upstream.health.eject(now, false);
@@ -629,13 +629,13 @@
     pub fn models(&self) -> impl Iterator<Item = (&str, &Model, f64)> {
         self.services.iter().filter(|(_, service)| service.load.is_known()).map(|(name, service)| {
             let like = self.upstreams.values().filter(|upstream| upstream.site.service == *name);
-            (name.as_str(), &service.model, engine::usual(like.map(|upstream| upstream.pace)))
+            (name.as_str(), &service.model, engine::median_pace(like.map(|upstream| upstream.pace)))
         })
     }
 
     /// The share of a service's short streams that are late beside long reads on an engine of the usual speed, if it is
     /// known.
-    pub fn harm(&self, service: &str, now: Millis) -> Option<f64> {
+    pub fn late_share(&self, service: &str, now: Millis) -> Option<f64> {
         let service = self.services.get(service)?;
         service.harm.share(1.0, service.load.gap_ms, now)
     }
@@ -643,13 +643,13 @@
     /// How many times slower than usual each engine is.
     pub fn slowness(&self, service: &str) -> Vec<(&str, f64)> {
         let like = || self.upstreams.iter().filter(|(_, upstream)| upstream.site.service == service);
-        let usual = engine::usual(like().map(|(_, upstream)| upstream.pace));
+        let usual = engine::median_pace(like().map(|(_, upstream)| upstream.pace));
         like().map(|(name, upstream)| (name.as_str(), upstream.pace.slowness(usual))).collect()
     }
 
     /// Whether an upstream gets work.
-    pub fn standing(&self, name: &str, now: Millis) -> Option<Standing> {
-        self.upstreams.get(name).map(|upstream| upstream.health.standing(now))
+    pub fn health_status(&self, name: &str, now: Millis) -> Option<HealthStatus> {
+        self.upstreams.get(name).map(|upstream| upstream.health.status(now))
     }
 
     /// The service of an upstream.
@@ -658,7 +658,7 @@
     }
 
     /// Open requests by upstream.
-    pub fn open(&self) -> impl Iterator<Item = (&str, u32)> {
+    pub fn open_requests(&self) -> impl Iterator<Item = (&str, u32)> {
         self.upstreams.iter().map(|(name, upstream)| (name.as_str(), upstream.open))
     }
 }
--- a/crates/route/src/place/estimate.rs
+++ b/crates/route/src/placement/estimate.rs
@@ -56,7 +56,7 @@
         now: Millis,
     ) -> Scene<'a> {
         let Service { model, division, run_ms, stretch, .. } = service;
-        let usual = engine::usual(engines.iter().map(|(_, engine)| engine.pace));
+        let usual = engine::median_pace(engines.iter().map(|(_, engine)| engine.pace));
         let is_long = is_long(model.read_ms(prompt.input as f64), prompt.gap_ms as f64);
         let (run_ms, stretch) = (*run_ms, stretch.max(STRETCH.0));
         let mut scene = Scene { prompt, model, division, usual, is_long, home: None, run_ms, stretch, now };
--- a/crates/route/src/place/upstream.rs
+++ b/crates/route/src/placement/upstream.rs
@@ -1,12 +1,12 @@
 //! One upstream and one service as a router knows them.
 
-use super::{Chosen, Part, STRETCH, Sent, Site, Ticket};
+use super::{DispatchId, DispatchTotals, Placement, PromptPart, STRETCH, UpstreamInfo};
 use crate::Millis;
 use crate::division::{Division, Load};
 use crate::engine::{Model, Pace};
 use crate::harm::Harm;
-use crate::health::{Health, Standing};
-use crate::reads::Reads;
+use crate::health::{Health, HealthStatus};
+use crate::read_queue::ReadQueue;
 use crate::warmup::Warming;
 use smallvec::SmallVec;
 use std::collections::{HashMap, VecDeque};
@@ -26,13 +26,13 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
-    pub(super) site: Site,
+    pub(super) site: UpstreamInfo,
     /// The first dispatch since it is known: those before went to an earlier one of its name.
-    pub(super) first: Ticket,
+    pub(super) first: DispatchId,
     pub(super) leaving: bool,
     pub(super) open: u32,
     pub(super) overdue: u32,
-    pub(super) reads: Reads,
+    pub(super) reads: ReadQueue,
     /// When others' runs should end, in milliseconds.
     pub(super) heard: VecDeque<f64>,
     pub(super) pace: Pace,
@@ -76,7 +76,7 @@
     /// Long pauses that the other routers were not told of.
     pub(super) untold: SmallVec<[u16; 4]>,
     /// Dispatches that they were not told of.
-    pub(super) sent: Sent,
+    pub(super) sent: DispatchTotals,
     /// The usual pace of its engines, in milliseconds, and when that was found.
     pub(super) usual: Option<(f64, Millis)>,
 }
@@ -90,8 +90,8 @@
     }
 
     /// Counts a dispatch in the load, and for the other routers until they are told.
-    pub(super) fn send(&mut self, chosen: &Chosen, now: Millis) {
-        let Chosen { uncached: unread, is_long, .. } = *chosen;
+    pub(super) fn send(&mut self, chosen: &Placement, now: Millis) {
+        let Placement { uncached: unread, is_long, .. } = *chosen;
         self.load.add(is_long, unread, now);
         let sum = if is_long { &mut self.sent.long } else { &mut self.sent.short };
         *sum = sum.saturating_add(unread);
@@ -113,10 +113,10 @@
 
 impl Upstream {
     pub(super) fn is_fit(&self, now: Millis) -> bool {
-        match self.health.standing(now) {
-            Standing::Ejected => false,
-            Standing::Probation(most) => self.open < most,
-            Standing::Fit => true,
+        match self.health.status(now) {
+            HealthStatus::Ejected => false,
+            HealthStatus::Probation(most) => self.open < most,
+            HealthStatus::Healthy => true,
         }
     }
 
@@ -134,9 +134,9 @@
     }
 
     /// Prompt tokens that are not cached here: a part counts as cached only if every part before it does.
-    pub(super) fn uncached(&self, parts: &[Part], is_home: bool, now: Millis) -> u32 {
+    pub(super) fn uncached(&self, parts: &[PromptPart], is_home: bool, now: Millis) -> u32 {
         let shared = parts.len().saturating_sub(1);
-        let cached = |index: usize, part: &Part| {
+        let cached = |index: usize, part: &PromptPart| {
             let known = self.parts.get(&part.id).is_some_and(|used| now.saturating_sub(*used) < PART_AGE);
             known || (is_home && index < shared)
         };
--- a/crates/route/src/reads.rs
+++ b/crates/route/src/read_queue.rs
@@ -16,11 +16,11 @@
 
 /// Prompts in the order in which they were sent.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Reads {
+pub(crate) struct ReadQueue {
     queue: VecDeque<Read>,
 }
 
-impl Reads {
+impl ReadQueue {
     /// Adds a prompt that takes so many milliseconds to read.
     pub(crate) fn push(&mut self, own: Option<u64>, takes: f64, now: Millis) {
         self.expire(now);
--- a/crates/route/src/window.rs
+++ b/crates/route/src/repeat_window.rs
@@ -2,7 +2,7 @@
 //! no count and may start anew at any moment.
 //!
 //! ```
-//! let mut window = route::Window::new(route::Terms { ratio: 0.5, extra: 4.0, length: 10_000 }, 0);
+//! let mut window = route::RepeatWindow::new(route::RepeatBound { ratio: 0.5, extra: 4.0, length: 10_000 }, 0);
 //! window.set_routers(Some(2));
 //! assert!(window.repeat(0, 0.5), "a router that has just started may repeat once");
 //! assert!(!window.repeat(0, 0.5));
@@ -29,7 +29,7 @@
 
 /// What bounds repeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RepeatBound {
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// Repeats allowed beyond that, by all routers together.
@@ -40,13 +40,13 @@
 
 /// What one router counted in its window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Count {
+pub struct RepeatCount {
     /// Requests that came.
     pub requests: u32,
     /// Repeats that are left.
-    pub left: f64,
+    pub available: f64,
     /// The most that may be left.
-    pub most: f64,
+    pub capacity: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -62,8 +62,8 @@
 /// bound, also if they are killed in series. Counts of a window that each life starts anew would pass it when a fleet is restarted at once
 /// while upstreams refuse (`tests/windows.rs`).
 #[derive(Clone, Debug)]
-pub struct Window {
-    terms: Terms,
+pub struct RepeatWindow {
+    terms: RepeatBound,
     routers: Option<u32>,
     started: Millis,
     buckets: VecDeque<Bucket>,
@@ -71,10 +71,10 @@
     filled: Millis,
 }
 
-impl Window {
+impl RepeatWindow {
     /// The window of a router that started at `started`.
-    pub fn new(terms: Terms, started: Millis) -> Window {
-        Window { terms, routers: None, started, buckets: VecDeque::new(), left: START, filled: started }
+    pub fn new(terms: RepeatBound, started: Millis) -> RepeatWindow {
+        RepeatWindow { terms, routers: None, started, buckets: VecDeque::new(), left: START, filled: started }
     }
 
     /// How many routers share the extra; `None` if that is not known: those that it does not know of divide the extra
@@ -84,7 +84,7 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         let at = now / BUCKET * BUCKET;
         match self.buckets.back_mut().filter(|bucket| bucket.at == at) {
             Some(bucket) => bucket.requests += 1,
@@ -97,7 +97,7 @@
     /// Counts a repeat if one is allowed, and returns whether it is. If the capacity is below one repeat, as in a large fleet,
     /// a repeat is allowed with a probability proportional to what is left, which may then become negative. `chance` must be
     /// uniformly distributed between 0 and 1.
-    pub fn repeat(&mut self, now: Millis, chance: f64) -> bool {
+    pub fn try_repeat(&mut self, now: Millis, chance: f64) -> bool {
         self.fill(now);
         let is_sampled = self.most(now) < 1.0 && chance < PROBABILITY_SCALE * self.left;
         let is_allowed = self.left >= 1.0 || is_sampled;
@@ -106,9 +106,9 @@
     }
 
     /// What this router counted, and what it may repeat by that.
-    pub fn count(&mut self, now: Millis) -> Count {
+    pub fn count(&mut self, now: Millis) -> RepeatCount {
         self.fill(now);
-        Count { requests: self.requests(now), left: self.left, most: self.most(now) }
+        RepeatCount { requests: self.requests(now), available: self.left, capacity: self.most(now) }
     }
 
     /// Takes in what came in with the time.
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Retries as a bounded share of traffic, so that they never make an overload worse.
 //!
 //! ```
-//! let mut budget = route::Budget::new(0.5);
+//! let mut budget = route::RetryBudget::new(0.5);
 //! budget.deposit();
 //! budget.deposit();
 //! assert!(budget.withdraw());
@@ -13,15 +13,15 @@
 
 /// The retries that recent requests have earned.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
     level: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Earns `share` of a retry with each request.
-    pub fn new(share: f64) -> Budget {
-        Budget { share, level: 0.0 }
+    pub fn new(share: f64) -> RetryBudget {
+        RetryBudget { share, level: 0.0 }
     }
 
     /// Changes the share. The first one above 0 fills the savings, so that a new router can retry.
--- a/crates/route/tests/fleet/mod.rs
+++ b/crates/route/tests/fleet/mod.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use route::Millis;
-use route::place::{Need, Places, Site};
+use route::placement::{PlacementRequest, Placer, UpstreamInfo};
 use std::collections::BTreeMap;
 
 pub(crate) const UPSTREAMS: usize = 3;
@@ -30,7 +30,7 @@
 /// A gateway as the play knows it.
 struct Gateway {
     name: String,
-    places: Places,
+    places: Placer,
     started: Millis,
     next_read: Millis,
     next_beat: Millis,
@@ -45,12 +45,12 @@
     format!("engine-{index}")
 }
 
-pub(crate) fn site() -> Site {
-    Site { service: "narrator".to_owned(), data_centre: "here".to_owned(), slots: 48 }
+pub(crate) fn site() -> UpstreamInfo {
+    UpstreamInfo { service: "narrator".to_owned(), data_centre: "here".to_owned(), slots: 48 }
 }
 
 impl Gateway {
-    fn new(name: String, now: Millis, places: Places, random: &mut SmallRng) -> Gateway {
+    fn new(name: String, now: Millis, places: Placer, random: &mut SmallRng) -> Gateway {
         Gateway {
             name,
             places,
@@ -65,9 +65,9 @@
 }
 
 /// Sends as many requests as a gateway may; returns how many each upstream got.
-pub(crate) fn send(places: &mut Places, now: Millis) -> [u32; UPSTREAMS] {
+pub(crate) fn send(places: &mut Placer, now: Millis) -> [u32; UPSTREAMS] {
     let mut sent = [0; UPSTREAMS];
-    let need = Need { service: "narrator", prompt: None, avoid: &[] };
+    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
     while let Some(chosen) = places.choose(&need, now) {
         let index: usize = chosen.upstream["engine-".len()..].parse().expect("a number");
         sent[index] += 1;
@@ -82,8 +82,8 @@
 pub(crate) fn play(
     seed: u64,
     fleet: usize,
-    new_places: impl Fn() -> Places,
-    send: impl Fn(&mut Places, Millis) -> [u32; UPSTREAMS],
+    new_places: impl Fn() -> Placer,
+    send: impl Fn(&mut Placer, Millis) -> [u32; UPSTREAMS],
 ) -> [Vec<Received>; UPSTREAMS] {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut rows: BTreeMap<String, (Millis, Millis)> = BTreeMap::new();
--- a/crates/route/tests/limits.rs
+++ b/crates/route/tests/limits.rs
@@ -5,7 +5,7 @@
 mod fleet;
 
 use fleet::{INTERVAL, Received, UPSTREAMS, send, site, upstream, worst};
-use route::place::{Need, Places};
+use route::placement::{PlacementRequest, Placer};
 use route::roster::Roster;
 use route::{LimitUpdate, Millis};
 
@@ -20,20 +20,20 @@
 }
 
 /// Places in which each upstream has named a limit.
-fn limited_places(per_s: f64) -> Places {
+fn limited_places(per_s: f64) -> Placer {
     let mut places = unlimited_places();
     (0..UPSTREAMS).for_each(|index| _ = places.update_limit(&upstream(index), Some(per_s), 0, 0));
     places
 }
 
-fn unlimited_places() -> Places {
-    let mut places = Places::new("here");
+fn unlimited_places() -> Placer {
+    let mut places = Placer::new("here");
     (0..UPSTREAMS).for_each(|index| places.set(&upstream(index), site(), false));
     places
 }
 
 /// Places of one gateway in a fleet whose gateways all list each other.
-fn fleet_member(number: usize, fleet: usize, mut places: Places) -> Places {
+fn fleet_member(number: usize, fleet: usize, mut places: Placer) -> Placer {
     let names: Vec<String> = (0..fleet).map(|number| format!("vm-{number}")).collect();
     let own = &names[number];
     places.roster.read(own, names.iter().map(String::as_str), Some(Roster::join_ms(INTERVAL)), 0, 1_000_000);
@@ -42,8 +42,8 @@
     places
 }
 
-fn can_dispatch(places: &Places, now: Millis) -> bool {
-    places.choose(&Need { service: "narrator", prompt: None, avoid: &[] }, now).is_some()
+fn can_dispatch(places: &Placer, now: Millis) -> bool {
+    places.choose(&PlacementRequest { service: "narrator", prompt: None, avoid: &[] }, now).is_some()
 }
 
 #[test]
@@ -52,7 +52,7 @@
         let fleet = [1, 2, 3, 6, 12, 30][seed as usize % 6];
         let per_s = RATES[seed as usize / 6 % RATES.len()];
         // Each dispatch gets an answer that names the limit.
-        let dispatch = |places: &mut Places, now: Millis| {
+        let dispatch = |places: &mut Placer, now: Millis| {
             let sent = send(places, now);
             for index in (0..UPSTREAMS).filter(|index| sent[*index] > 0) {
                 places.update_limit(&upstream(index), Some(per_s), now, now);
@@ -73,7 +73,7 @@
     let mut lines = vec![];
     for fleet in [1, 6, 22, 87, 295, 1_400] {
         for per_s in RATES {
-            let mut gateways: Vec<Places> =
+            let mut gateways: Vec<Placer> =
                 (0..fleet).map(|number| fleet_member(number, fleet, limited_places(per_s))).collect();
             let mut received = 0;
             for now in (0..40_000).step_by(100) {
@@ -153,7 +153,7 @@
 #[test]
 fn gateways_without_news_check_one_after_the_other_whether_a_limit_still_holds() {
     const FLEET: usize = 20;
-    let mut gateways: Vec<Places> =
+    let mut gateways: Vec<Placer> =
         (0..FLEET).map(|number| fleet_member(number, FLEET, limited_places(0.1))).collect();
     let mut received = vec![];
     for now in (0..240_000).step_by(100) {
@@ -174,7 +174,7 @@
 #[test]
 fn a_store_outage_leaves_upstreams_half_of_their_limits() {
     let (fleet, per_s) = (6, 9.9);
-    let mut gateways: Vec<Places> = (0..fleet)
+    let mut gateways: Vec<Placer> = (0..fleet)
         .map(|number| {
             let mut places = limited_places(per_s);
             let names: Vec<String> = (0..fleet).map(|number| format!("vm-{number}")).collect();
@@ -197,16 +197,16 @@
 #[test]
 fn callers_are_told_when_the_first_upstream_accepts_a_request_again() {
     let mut places = fleet_member(0, 1, limited_places(2.0));
-    assert_eq!(places.rests_ms("narrator", 5_000), None, "there is room");
+    assert_eq!(places.wait_ms("narrator", 5_000), None, "there is room");
     assert_eq!(send(&mut places, 5_000), [4; UPSTREAMS]);
-    assert_eq!(places.rests_ms("narrator", 5_250), Some(2_000));
+    assert_eq!(places.wait_ms("narrator", 5_250), Some(2_000));
     assert!(!can_dispatch(&places, 7_249) && can_dispatch(&places, 7_250));
 }
 
 #[test]
 fn dispatches_just_before_a_limit_count_toward_it() {
     let mut places = fleet_member(0, 1, unlimited_places());
-    let need = Need { service: "narrator", prompt: None, avoid: &[upstream(1), upstream(2)] };
+    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[upstream(1), upstream(2)] };
     for _ in 0..4 {
         let chosen = places.choose(&need, 5_000).expect("an upstream");
         places.begin(&chosen, None, 5_000);
--- a/crates/route/tests/load.rs
+++ b/crates/route/tests/load.rs
@@ -3,7 +3,7 @@
 use emulator::{Fault, Outcome, Scene, Size, play};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use route::{Millis, Teller};
+use route::{HintFilter, Millis};
 
 /// The outcomes of some seeds.
 fn outcomes(scene: impl Fn(u64) -> Scene) -> Vec<Outcome> {
@@ -98,12 +98,12 @@
     const SENT_PER_S: u64 = 850;
     let mut random = SmallRng::seed_from_u64(1);
     let sizes = Size { mean: 6_600.0, spread: 1.4, most: 55_000.0 };
-    let mut tellers = vec![Teller::default(); routers];
+    let mut tellers = vec![HintFilter::default(); routers];
     let mut told = 0_u64;
     for sent in 0..SECONDS * SENT_PER_S {
         let now: Millis = sent * 1_000 / SENT_PER_S;
         let teller = &mut tellers[random.gen_range(0..routers)];
-        let is_told = teller.tells(sizes.draw(&mut random) as u32, routers as u64, now);
+        let is_told = teller.should_send(sizes.draw(&mut random) as u32, routers as u64, now);
         told += u64::from(is_told && now >= LEARNED * 1_000);
     }
     told as f64 / (SECONDS - LEARNED) as f64
--- a/crates/route/tests/places.rs
+++ b/crates/route/tests/places.rs
@@ -1,33 +1,38 @@
 //! Placing requests by estimates: caches, load, failures, and what other routers tell.
 
-use route::place::{Chosen, Need, Part, Places, Prompt, Site, Ticket, Told};
-use route::{Terms, Window};
-
-const PARTS: [Part; 3] =
-    [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 5_000 }, Part { id: 3, tokens: 800 }];
+use route::placement::{
+    DispatchHint, DispatchId, Placement, PlacementRequest, Placer, Prompt, PromptPart, UpstreamInfo,
+};
+use route::{RepeatBound, RepeatWindow};
+
+const PARTS: [PromptPart; 3] = [
+    PromptPart { id: 1, tokens: 500 },
+    PromptPart { id: 2, tokens: 5_000 },
+    PromptPart { id: 3, tokens: 800 },
+];
 const PROMPT: Prompt<'static> =
     Prompt { parts: &PARTS, input: 6_300, events: 50, target_ms: 1_000, gap_ms: 400 };
 
-fn places(count: usize) -> Places {
-    let mut places = Places::new("here");
+fn places(count: usize) -> Placer {
+    let mut places = Placer::new("here");
     for index in 0..count {
         let data_centre = if index % 2 == 0 { "here" } else { "there" };
-        let site = Site { service: "engines".into(), data_centre: data_centre.into(), slots: 8 };
+        let site = UpstreamInfo { service: "engines".into(), data_centre: data_centre.into(), slots: 8 };
         places.set(&format!("e-{index}"), site, false);
     }
     places
 }
 
 /// A call of a plain service.
-const CALL: Need<'static> = Need { service: "engines", prompt: None, avoid: &[] };
+const CALL: PlacementRequest<'static> = PlacementRequest { service: "engines", prompt: None, avoid: &[] };
 
-fn choose(places: &Places, now: u64) -> Chosen {
-    places.choose(&Need { prompt: Some(PROMPT), ..CALL }, now).expect("an upstream")
+fn choose(places: &Placer, now: u64) -> Placement {
+    places.choose(&PlacementRequest { prompt: Some(PROMPT), ..CALL }, now).expect("an upstream")
 }
 
 /// Sends an upstream a prompt with so many tokens to read.
-fn send(places: &mut Places, upstream: &str, tokens: u32, now: u64) -> Ticket {
-    let chosen = Chosen { upstream: upstream.to_owned(), uncached: tokens, ..choose(places, now) };
+fn send(places: &mut Placer, upstream: &str, tokens: u32, now: u64) -> DispatchId {
+    let chosen = Placement { upstream: upstream.to_owned(), uncached: tokens, ..choose(places, now) };
     places.begin(&chosen, Some(&Prompt { parts: &[], ..PROMPT }), now)
 }
 
@@ -50,7 +55,7 @@
     let other = choose(&places, 0);
     assert_ne!(other.upstream, home);
     assert_eq!(other.uncached, 6_300);
-    places.read(&home, last, 900);
+    places.record_first_answer(&home, last, 900);
     assert_eq!(choose(&places, 900).upstream, home, "all before it was read too");
 }
 
@@ -58,81 +63,81 @@
 fn a_long_prompt_of_another_router_is_avoided_until_it_is_read() {
     let mut places = places(6);
     let home = choose(&places, 0).upstream;
-    let told = Told {
+    let told = DispatchHint {
         unread: 40_000,
         lasts_ms: 2_000.0,
         event_ms: None,
         pauses_ms: Default::default(),
         since: Default::default(),
     };
-    places.hear(&home, &told, 0);
+    places.hear_dispatch(&home, &told, 0);
     assert_ne!(choose(&places, 100).upstream, home);
     assert_eq!(choose(&places, 1_000).upstream, home, "by then it was read");
-    places.hear("unknown", &told, 0);
+    places.hear_dispatch("unknown", &told, 0);
 }
 
 #[test]
 fn upstreams_that_leave_fail_or_were_tried_are_passed_over() {
     let mut places = places(3);
     let avoid = ["e-0".to_owned()];
-    let tried = Need { avoid: &avoid, ..CALL };
+    let tried = PlacementRequest { avoid: &avoid, ..CALL };
     assert_eq!(places.choose(&CALL, 0).map(|chosen| chosen.upstream), Some("e-0".to_owned()));
     assert_eq!(places.choose(&tried, 0).map(|chosen| chosen.upstream), Some("e-2".to_owned()));
-    let site = Site { service: "engines".into(), data_centre: "here".into(), slots: 8 };
+    let site = UpstreamInfo { service: "engines".into(), data_centre: "here".into(), slots: 8 };
     places.set("e-0", site, true);
     assert_eq!(places.choose(&CALL, 0).map(|chosen| chosen.candidates), Some(2));
     for _ in 0..3 {
-        places.fail("e-2", 10);
+        places.record_failure("e-2", 10);
     }
     assert_eq!(places.choose(&CALL, 20).map(|chosen| chosen.upstream), Some("e-1".to_owned()));
     for _ in 0..3 {
-        places.fail("e-1", 10);
+        places.record_failure("e-1", 10);
     }
     assert!(places.choose(&CALL, 20).is_some(), "if all fail, one is tried all the same");
-    assert_eq!(places.choose(&Need { service: "tiles", ..CALL }, 0), None);
+    assert_eq!(places.choose(&PlacementRequest { service: "tiles", ..CALL }, 0), None);
 }
 
 #[test]
 fn the_word_of_an_upstream_that_leaves_outlasts_the_list_but_not_its_life() {
     let mut places = places(2);
-    let site = || Site { service: "engines".into(), data_centre: "here".into(), slots: 8 };
-    let chosen = |places: &Places| places.choose(&CALL, 0).map(|chosen| chosen.upstream);
+    let site = || UpstreamInfo { service: "engines".into(), data_centre: "here".into(), slots: 8 };
+    let chosen = |places: &Placer| places.choose(&CALL, 0).map(|chosen| chosen.upstream);
     assert_eq!(chosen(&places).as_deref(), Some("e-0"));
-    assert!(places.leave("e-0", 0));
-    assert!(!places.leave("e-0", 10), "it is known");
+    assert!(places.mark_leaving("e-0", 0));
+    assert!(!places.mark_leaving("e-0", 10), "it is known");
     assert_eq!(chosen(&places).as_deref(), Some("e-1"));
     places.set("e-0", site(), false);
     assert_eq!(chosen(&places).as_deref(), Some("e-1"), "the list is late");
     places.remove("e-0");
     places.set("e-0", site(), false);
     assert_eq!(chosen(&places).as_deref(), Some("e-1"), "its entry lapsed and came back");
-    assert!(!places.admits("e-0", 0) && places.leaves("e-0"));
+    assert!(!places.admits("e-0", 0) && places.is_leaving("e-0"));
     places.forget("e-0");
     places.set("e-0", site(), false);
     assert_eq!(chosen(&places).as_deref(), Some("e-0"), "another life of it");
-    places.leave("e-0", 20);
-    places.leave("e-1", 20);
+    places.mark_leaving("e-0", 20);
+    places.mark_leaving("e-1", 20);
     assert_eq!(chosen(&places), None, "none is tried all the same");
 }
 
 #[test]
 fn an_upstream_that_rests_gets_nothing_until_its_time_is_over() {
     let mut places = places(2);
-    let chosen = |places: &Places, now| places.choose(&CALL, now).map(|chosen| chosen.upstream);
-    assert_eq!(places.rest("e-0", 3_000, 100), 3_000);
+    let chosen = |places: &Placer, now| places.choose(&CALL, now).map(|chosen| chosen.upstream);
+    assert_eq!(places.back_off("e-0", 3_000, 100), 3_000);
     assert_eq!(chosen(&places, 200).as_deref(), Some("e-1"));
-    assert_eq!(places.rests_ms("engines", 200), None, "one takes work");
-    places.rest("e-1", 1_000, 200);
-    assert!(!places.admits("e-1", 200) && !places.leaves("e-1"), "one that rests does not leave");
-    assert!(places.leaves("e-9"), "one that is not listed has left");
-    assert_eq!((chosen(&places, 300), places.rests_ms("engines", 300)), (None, Some(900)));
-    places.rest("e-1", 100, 300);
-    assert_eq!(places.rests_ms("engines", 300), Some(900), "a shorter rest takes nothing back");
+    assert_eq!(places.wait_ms("engines", 200), None, "one takes work");
+    places.back_off("e-1", 1_000, 200);
+    assert!(!places.admits("e-1", 200) && !places.is_leaving("e-1"), "one that rests does not leave");
+    assert!(places.is_leaving("e-9"), "one that is not listed has left");
+    assert_eq!((chosen(&places, 300), places.wait_ms("engines", 300)), (None, Some(900)));
+    places.back_off("e-1", 100, 300);
+    assert_eq!(places.wait_ms("engines", 300), Some(900), "a shorter rest takes nothing back");
     assert_eq!(chosen(&places, 1_200).as_deref(), Some("e-1"));
-    assert_eq!(places.rests_ms("tiles", 300), None, "none is there");
-    assert_eq!(places.rest("e-0", 86_400_000, 4_000), 300_000, "a day is bounded");
-    places.leave("e-1", 5_000);
-    assert_eq!(places.rests_ms("engines", 5_000), Some(299_000), "one that leaves is not waited for");
+    assert_eq!(places.wait_ms("tiles", 300), None, "none is there");
+    assert_eq!(places.back_off("e-0", 86_400_000, 4_000), 300_000, "a day is bounded");
+    places.mark_leaving("e-1", 5_000);
+    assert_eq!(places.wait_ms("engines", 5_000), Some(299_000), "one that leaves is not waited for");
     let times: Vec<u64> = (0..1_000).map(|seed| route::return_ms(900, seed * 7_919)).collect();
     assert!(times.iter().all(|ms| (900..1_400).contains(ms)));
     let early = times.iter().filter(|ms| **ms < 1_000).count();
@@ -143,28 +148,28 @@
 fn a_grey_upstream_gets_less() {
     let mut places = places(4);
     for _ in 0..10 {
-        places.err("e-0");
+        places.record_error("e-0");
     }
     let chosen = places.choose(&CALL, 0).expect("an upstream");
     assert_eq!(chosen.upstream, "e-2");
-    places.overdue("e-2", true);
+    places.set_overdue("e-2", true);
     assert_eq!(places.choose(&CALL, 0).map(|chosen| chosen.upstream), Some("e-1".to_owned()));
 }
 
 #[test]
 fn repeats_stay_within_the_fleets_allowance_over_every_window() {
-    let terms = Terms { ratio: 0.2, extra: 52.0, length: 10_000 };
+    let terms = RepeatBound { ratio: 0.2, extra: 52.0, length: 10_000 };
     let routers = 6;
-    let mut windows: Vec<Window> = (0..routers).map(|_| Window::new(terms, 0)).collect();
+    let mut windows: Vec<RepeatWindow> = (0..routers).map(|_| RepeatWindow::new(terms, 0)).collect();
     let mut repeats: Vec<u64> = vec![];
     let mut requests: Vec<u64> = vec![];
     for now in (0..40_000).step_by(10) {
         let window = &mut windows[(now / 10 % routers) as usize];
         window.set_routers(Some(routers as u32));
-        window.request(now);
+        window.record_request(now);
         requests.push(now);
         // Everything is tried again as often as it may be.
-        while window.repeat(now, 0.5) {
+        while window.try_repeat(now, 0.5) {
             repeats.push(now);
         }
     }
@@ -218,7 +223,7 @@
     for round in 0..200 {
         for (upstream, ms) in [("e-0", 20.0), ("e-1", 20.0), ("e-2", 20.0), ("e-3", 26.0)] {
             // Prompts that were read beside a stream make every third time longer.
-            places.quiet(upstream, if round % 3 == 0 { 3.0 * ms } else { ms });
+            places.record_baseline_pause(upstream, if round % 3 == 0 { 3.0 * ms } else { ms });
         }
     }
     let slowness = places.slowness("engines");
--- a/crates/route/tests/warmup.rs
+++ b/crates/route/tests/warmup.rs
@@ -8,22 +8,22 @@
 use emulator::{Bound, Return, play_return};
 use fleet::{INTERVAL, UPSTREAMS, site, upstream, worst};
 use route::Millis;
-use route::place::{Need, Places};
+use route::placement::{PlacementRequest, Placer};
 use route::roster::Roster;
 use route::warmup::Warmup;
 use std::collections::HashMap;
 
 const PER_S: f64 = 9.9;
 
-fn places(per_s: f64) -> Places {
-    let mut places = Places::new("here");
+fn places(per_s: f64) -> Placer {
+    let mut places = Placer::new("here");
     places.set_warmups(HashMap::from([("narrator".to_owned(), Warmup { per_s, lasts_ms: 3_000 })]));
     (0..UPSTREAMS).for_each(|index| places.set(&upstream(index), site(), false));
     places
 }
 
 /// Sends as much as it may to the upstreams, all of which warm up all the time; how many requests each got.
-fn send(places: &mut Places, now: Millis) -> [u32; UPSTREAMS] {
+fn send(places: &mut Placer, now: Millis) -> [u32; UPSTREAMS] {
     (0..UPSTREAMS).for_each(|index| places.warm_up(&upstream(index), 60_000, now));
     fleet::send(places, now)
 }
@@ -42,7 +42,7 @@
 /// A fleet of so many gateways that know each other; all that upstreams get in the seconds after they began to warm up.
 fn calm(fleet: usize, per_s: f64) -> Vec<u32> {
     let names: Vec<String> = (0..fleet).map(|index| format!("vm-{index}")).collect();
-    let mut gateways: Vec<Places> = names.iter().map(|_| places(per_s)).collect();
+    let mut gateways: Vec<Placer> = names.iter().map(|_| places(per_s)).collect();
     for (name, places) in names.iter().zip(&mut gateways) {
         let up_ms = Roster::join_ms(INTERVAL);
         places.roster.read(name, names.iter().map(String::as_str), Some(up_ms), 0, 100_000);
@@ -73,7 +73,7 @@
 #[test]
 fn a_warm_up_ends_and_one_that_is_said_to_last_a_day_is_not_believed() {
     let mut places = places(PER_S);
-    let need = Need { service: "narrator", prompt: None, avoid: &[] };
+    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
     for index in 0..UPSTREAMS {
         places.warm_up(&upstream(index), 86_400_000, 1_000);
     }
@@ -90,11 +90,11 @@
 fn an_upstream_that_may_have_started_again_counts_as_warming_up() {
     let mut places = places(PER_S);
     for _ in 0..3 {
-        places.fail("engine-0", 100);
+        places.record_failure("engine-0", 100);
     }
-    places.succeed("engine-1", None);
-    let need = |avoid: &'static [String]| Need { service: "narrator", prompt: None, avoid };
-    let chosen = |places: &Places, now| places.choose(&need(&[]), now).map(|chosen| chosen.upstream);
+    places.record_success("engine-1", None);
+    let need = |avoid: &'static [String]| PlacementRequest { service: "narrator", prompt: None, avoid };
+    let chosen = |places: &Placer, now| places.choose(&need(&[]), now).map(|chosen| chosen.upstream);
     (1..UPSTREAMS).for_each(|index| places.warm_up(&upstream(index), 2_000, 1_200));
     assert_eq!(chosen(&places, 1_300).as_deref(), Some("engine-0"), "all others are known to warm up");
     (1..UPSTREAMS).for_each(|index| places.forget(&upstream(index)));
@@ -115,16 +115,16 @@
 fn where_all_upstreams_may_have_started_again_they_are_tried() {
     let mut places = places(PER_S);
     for index in 0..UPSTREAMS {
-        (0..3).for_each(|_| _ = places.fail(&upstream(index), 100));
+        (0..3).for_each(|_| _ = places.record_failure(&upstream(index), 100));
     }
-    let need = Need { service: "narrator", prompt: None, avoid: &[] };
+    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
     assert!(places.choose(&need, 1_200).is_some(), "this gateway knows of no others, and takes no part");
 }
 
 #[test]
 fn a_data_centre_that_is_evacuated_gets_nothing_and_warms_up_when_it_is_taken_back() {
     let mut places = places(PER_S);
-    let need = Need { service: "narrator", prompt: None, avoid: &[] };
+    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
     assert!(places.evacuate("here") && !places.evacuate("here"));
     assert_eq!(places.choose(&need, 0), None);
     assert!(!places.admits("engine-0", 0));
--- a/crates/route/tests/windows.rs
+++ b/crates/route/tests/windows.rs
@@ -9,9 +9,9 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use route::{Millis, Terms, Window};
+use route::{Millis, RepeatBound, RepeatWindow};
 
-const TERMS: Terms = Terms { ratio: 0.2, extra: 56.0, length: 10_000 };
+const TERMS: RepeatBound = RepeatBound { ratio: 0.2, extra: 56.0, length: 10_000 };
 /// Gateways of the fleet.
 const FLEET: usize = 8;
 const SECOND: usize = 1_000;
@@ -29,27 +29,27 @@
 fn play(per_s: u32, failing: Millis, kills: &[Millis], known: impl Fn(usize, Millis) -> Option<u32>) -> Seen {
     let end = 40 * SECOND;
     let mut seen = Seen { requests: vec![0; end], repeats: vec![0; end] };
-    let mut windows: Vec<Window> = (0..FLEET).map(|_| Window::new(TERMS, 0)).collect();
+    let mut windows: Vec<RepeatWindow> = (0..FLEET).map(|_| RepeatWindow::new(TERMS, 0)).collect();
     let mut started = 0;
     let mut sent = 0.0;
     for now in 0..end {
         let at = now as Millis;
         if kills.contains(&at) {
             started = at + DOWN;
-            windows = (0..FLEET).map(|_| Window::new(TERMS, started)).collect();
+            windows = (0..FLEET).map(|_| RepeatWindow::new(TERMS, started)).collect();
         }
         sent += f64::from(per_s) / SECOND as f64;
         while sent >= 1.0 {
             sent -= 1.0;
             seen.requests[now] += 1;
             if at >= started {
-                windows[now % FLEET].request(at);
+                windows[now % FLEET].record_request(at);
             }
         }
         if at >= started.max(failing) && now.is_multiple_of(10) {
             for (index, window) in windows.iter_mut().enumerate() {
                 window.set_routers(known(index, at - started));
-                seen.repeats[now] += u32::from(window.repeat(at, 0.5));
+                seen.repeats[now] += u32::from(window.try_repeat(at, 0.5));
             }
         }
     }
@@ -119,7 +119,7 @@
 /// all requests failing in the second half.
 fn worst_with_poisson_arrivals(routers: u32, per_s: f64, seed: u64) -> f64 {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut windows: Vec<Window> = (0..routers).map(|_| Window::new(TERMS, 0)).collect();
+    let mut windows: Vec<RepeatWindow> = (0..routers).map(|_| RepeatWindow::new(TERMS, 0)).collect();
     let mut seen = Seen { requests: vec![0; 60 * SECOND], repeats: vec![0; 60 * SECOND] };
     let mut arrival = 0.0;
     loop {
@@ -130,10 +130,10 @@
         }
         let window = &mut windows[random.gen_range(0..routers as usize)];
         window.set_routers(Some(routers));
-        window.request(now as Millis);
+        window.record_request(now as Millis);
         seen.requests[now] += 1;
         if now > 30 * SECOND {
-            seen.repeats[now] += u32::from(window.repeat(now as Millis, random.r#gen()));
+            seen.repeats[now] += u32::from(window.try_repeat(now as Millis, random.r#gen()));
         }
     }
 }
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -19,7 +19,7 @@
 use http::StatusCode;
 use http::request::Parts;
 use hyper::body::Bytes;
-use route::{Choice, Want};
+use route::{Choice, SubmitRequest};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
@@ -174,7 +174,7 @@
         let node = &self.node;
         let access = &self.entry.access;
         let weight = self.entry.bundle.content.teams.get(&access.team).map_or(1, |team| team.weight);
-        let want = Want {
+        let want = SubmitRequest {
             model: &self.ask.model,
             prefix: self.ask.prefix,
             avoid: &tries.avoid,
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -7,7 +7,9 @@
 use http::StatusCode;
 use net::exec;
 use peer::View;
-use route::{Budget, Choice, Desk, Entered, Report, Spec, Want, assign};
+use route::{
+    Choice, Dispatcher, LoadReport, RetryBudget, SubmitOutcome, SubmitRequest, UpstreamSpec, assign_slots,
+};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
@@ -20,8 +22,8 @@
 
 #[derive(Debug)]
 struct State {
-    desk: Desk<Sender<Choice>>,
-    retries: Budget,
+    desk: Dispatcher<Sender<Choice>>,
+    retries: RetryBudget,
     cache_seen: BTreeMap<String, u64>,
     owners: BTreeMap<String, Vec<String>>,
 }
@@ -35,10 +37,14 @@
 
 impl<C: Clock> Schedule<C> {
     pub(crate) fn new(data_centre: &str, clock: C) -> Schedule<C> {
-        let mut desk = Desk::new(data_centre);
-        desk.board.warm_up(clock.now() + WARM_MS);
-        let state =
-            State { desk, retries: Budget::new(0.0), cache_seen: BTreeMap::new(), owners: BTreeMap::new() };
+        let mut desk = Dispatcher::new(data_centre);
+        desk.pool.trust_reports_until(clock.now() + WARM_MS);
+        let state = State {
+            desk,
+            retries: RetryBudget::new(0.0),
+            cache_seen: BTreeMap::new(),
+            owners: BTreeMap::new(),
+        };
         Schedule { clock, state: Mutex::new(state) }
     }
 
@@ -51,22 +57,22 @@
         let sharers = view.sharers();
         let upstreams: Vec<(&str, u32)> =
             bundle.serving().map(|(name, upstream)| (name, upstream.slots)).collect();
-        let shares = assign(&upstreams, &sharers);
+        let shares = assign_slots(&upstreams, &sharers);
         let mut state = self.lock();
         let mut mine = HashSet::new();
         for (name, upstream) in bundle.serving() {
             let owners = &shares[name];
             if let Some((_, slots)) = owners.iter().find(|(owner, _)| *owner == me) {
                 mine.insert(name);
-                let spec = Spec {
+                let spec = UpstreamSpec {
                     data_centre: upstream.data_centre.clone(),
                     limit: *slots,
                     models: upstream.models.clone(),
                 };
-                state.desk.board.set(name, spec);
+                state.desk.pool.set(name, spec);
             }
         }
-        state.desk.board.retain(|name| mine.contains(name));
+        state.desk.pool.retain(|name| mine.contains(name));
         state.owners = shares
             .iter()
             .map(|(name, owners)| {
@@ -74,7 +80,7 @@
                 ((*name).to_owned(), owners)
             })
             .collect();
-        state.desk.set_most(bundle.limits.queue);
+        state.desk.set_capacity(bundle.limits.queue);
         state.retries.set_share(bundle.limits.retry_share);
         self.advance(&mut state);
     }
@@ -83,11 +89,12 @@
     pub(crate) fn report(&self, name: &str, load: &Load) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let report = Report { slots: load.slots, busy: load.running + load.waiting, leaving: load.leaving };
-        state.desk.board.report(name, report, now);
+        let report =
+            LoadReport { slots: load.slots, busy: load.running + load.waiting, leaving: load.leaving };
+        state.desk.pool.record_report(name, report, now);
         let seen = state.cache_seen.get(name).copied().unwrap_or(0);
         for event in load.cache.iter().filter(|event| event.sequence > seen) {
-            state.desk.board.cache(name, event.prefix, event.added);
+            state.desk.pool.record_cache_event(name, event.prefix, event.added);
         }
         if let Some(last) = load.cache.last() {
             state.cache_seen.insert(name.to_owned(), last.sequence.max(seen));
@@ -97,23 +104,23 @@
 
     /// Marks an upstream as leaving or staying.
     pub(crate) fn leave(&self, name: &str, leaving: bool) -> bool {
-        self.lock().desk.board.leave(name, leaving)
+        self.lock().desk.pool.set_leaving(name, leaving)
     }
 
     /// Takes in that a peer knows an upstream to be leaving.
     pub(crate) fn hear_leaving(&self, name: &str) -> bool {
         let now = self.clock.now();
-        self.lock().desk.board.hear_leaving(name, now)
+        self.lock().desk.pool.hear_leaving(name, now)
     }
 
     /// The upstreams that this router itself found to be leaving.
     pub(crate) fn leaving(&self) -> Vec<String> {
-        self.lock().desk.board.leaving().map(ToOwned::to_owned).collect()
+        self.lock().desk.pool.leaving().map(ToOwned::to_owned).collect()
     }
 
     /// The upstreams as operators see them.
-    pub(crate) fn view(&self) -> BTreeMap<String, route::View> {
-        self.lock().desk.board.view(self.clock.now())
+    pub(crate) fn view(&self) -> BTreeMap<String, route::UpstreamStatus> {
+        self.lock().desk.pool.statuses(self.clock.now())
     }
 
     /// Requests that wait.
@@ -133,20 +140,20 @@
 
     /// Whether this router owns slots of an upstream that serves a model.
     pub(crate) fn serves(&self, model: &str) -> bool {
-        self.lock().desk.board.serves(model)
+        self.lock().desk.pool.serves(model)
     }
 
     /// Waits for an upstream; its slot is taken until [`Schedule::end`].
-    pub(crate) async fn choose(&self, want: &Want<'_>) -> Result<Choice, Refusal> {
+    pub(crate) async fn choose(&self, want: &SubmitRequest<'_>) -> Result<Choice, Refusal> {
         let (chosen, choice) = async_channel::bounded(1);
         // A displaced request learns it because its sender is dropped.
-        let (entered, _displaced) = self.lock().desk.enter(want, chosen, self.clock.now());
+        let (entered, _displaced) = self.lock().desk.submit(want, chosen, self.clock.now());
         let number = match entered {
-            Entered::Chosen(choice) => return Ok(choice),
-            Entered::Waiting(number) => number,
-            Entered::Nowhere => return Err(nowhere(want.model)),
-            Entered::Full(millis) => return Err(full(millis.max(COME_BACK_MS))),
-            Entered::Late(millis) => {
+            SubmitOutcome::Chosen(choice) => return Ok(choice),
+            SubmitOutcome::Waiting(number) => number,
+            SubmitOutcome::NoUpstream => return Err(nowhere(want.model)),
+            SubmitOutcome::Full(millis) => return Err(full(millis.max(COME_BACK_MS))),
+            SubmitOutcome::Late(millis) => {
                 return Err(late("it could not begin before its deadline", millis.max(COME_BACK_MS)));
             }
         };
@@ -169,7 +176,7 @@
         if serving.is_empty() {
             return None;
         }
-        let home = route::home(&serving, prefix);
+        let home = route::home_upstream(&serving, prefix);
         let owners = self.lock().owners.get(home).cloned()?;
         Some((home.to_owned(), owners))
     }
@@ -180,7 +187,7 @@
     }
 
     /// Takes a slot of one upstream for a peer's request, if it is free.
-    pub(crate) fn take_at(&self, want: &Want<'_>, at: &str) -> Option<String> {
+    pub(crate) fn take_at(&self, want: &SubmitRequest<'_>, at: &str) -> Option<String> {
         let now = self.clock.now();
         self.lock().desk.lend(want, Some(at), now)
     }
@@ -188,28 +195,28 @@
     /// Gives back a slot and lets the next request go.
     pub(crate) fn end(&self, name: &str) {
         let mut state = self.lock();
-        state.desk.board.end(name);
+        state.desk.pool.release(name);
         self.advance(&mut state);
     }
 
     /// Notes that a run went well.
     pub(crate) fn succeed(&self, name: &str, gap: Option<f64>) {
-        self.lock().desk.board.succeed(name, gap);
+        self.lock().desk.pool.record_success(name, gap);
     }
 
     /// Notes that a run failed; `true` if the upstream is ejected for it.
     pub(crate) fn fail(&self, name: &str) -> bool {
         let now = self.clock.now();
-        self.lock().desk.board.fail(name, now)
+        self.lock().desk.pool.record_failure(name, now)
     }
 
     /// Sends waiting requests off while upstreams are free.
     fn advance(&self, state: &mut State) {
-        let sent = state.desk.advance(self.clock.now(), Sender::is_closed);
+        let sent = state.desk.dispatch_waiting(self.clock.now(), Sender::is_closed);
         for (chosen, choice) in sent {
             let upstream = choice.upstream.clone();
             if chosen.try_send(choice).is_err() {
-                state.desk.board.end(&upstream);
+                state.desk.pool.release(&upstream);
             }
         }
     }
@@ -227,9 +234,9 @@
     fn drop(&mut self) {
         let mut state = self.schedule.lock();
         // Whether it got a slot here or at a peer, the line moved on by one.
-        state.desk.served(self.model, self.number, self.schedule.clock.now());
+        state.desk.remove_served(self.model, self.number, self.schedule.clock.now());
         if let Ok(choice) = self.choice.try_recv() {
-            state.desk.board.end(&choice.upstream);
+            state.desk.pool.release(&choice.upstream);
             self.schedule.advance(&mut state);
         }
     }
--- a/crates/router/src/slot.rs
+++ b/crates/router/src/slot.rs
@@ -19,7 +19,7 @@
 use net::exec;
 use peer::{LinkClient, SlotAsk};
 use rand::Rng;
-use route::{Choice, Reason, Want};
+use route::{Choice, Reason, SubmitRequest};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -64,7 +64,7 @@
     node: &Arc<Node<W>>,
     entry: &Entry,
     ask: &Ask,
-    want: &Want<'_>,
+    want: &SubmitRequest<'_>,
 ) -> Result<(Choice, Slot), Refusal> {
     let home = node.schedule.home(&entry.bundle.content, want.model, want.prefix);
     let (home, owners) = home.unwrap_or_default();
@@ -108,7 +108,7 @@
 async fn wait_at_peers<W: Ports>(
     node: &Arc<Node<W>>,
     owners: &[SocketAddr],
-    want: &Want<'_>,
+    want: &SubmitRequest<'_>,
 ) -> Option<(Choice, Slot)> {
     let mut lenders = owners.to_vec();
     let alive = node.alive();
@@ -131,7 +131,7 @@
 async fn ask_peer<W: Ports>(
     node: &Arc<Node<W>>,
     lender: SocketAddr,
-    want: &Want<'_>,
+    want: &SubmitRequest<'_>,
     at: Option<&str>,
 ) -> Option<(Choice, Slot)> {
     let wait_ms = if at.is_some() { 0 } else { want.deadline.saturating_sub(node.clock.now()) };
@@ -249,7 +249,7 @@
                 None => state.loans.insert(ask.id.clone(), Lent::Waiting(withdraw)),
             };
         }
-        let want = Want {
+        let want = SubmitRequest {
             model: &ask.model,
             prefix: ask.prefix,
             avoid: &ask.avoid,
--- a/examples/bench/policy/world.rs
+++ b/examples/bench/policy/world.rs
@@ -4,7 +4,9 @@
 use super::score::{at, fairness, percent};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use route::{Desk, Entered, Report, Spec, Want, assign, home};
+use route::{
+    Dispatcher, LoadReport, SubmitOutcome, SubmitRequest, UpstreamSpec, assign_slots, home_upstream,
+};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -92,9 +94,9 @@
     lender: Option<usize>,
 }
 
-fn want<'a>(mix: &Mix, request: &'a Request, team: &'a str) -> Want<'a> {
+fn want<'a>(mix: &Mix, request: &'a Request, team: &'a str) -> SubmitRequest<'a> {
     let class = &mix.classes[request.class];
-    Want {
+    SubmitRequest {
         model: MODEL,
         prefix: request.prefix,
         avoid: &request.avoid,
@@ -122,7 +124,7 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     order: u64,
     engines: Vec<Engine>,
-    desks: Vec<Desk<usize>>,
+    desks: Vec<Dispatcher<usize>>,
     open: Vec<Vec<u32>>,
     turn: Vec<usize>,
     requests: Vec<Request>,
@@ -204,7 +206,7 @@
     let (engines, routers) = names(mix, routers);
     let upstreams: Vec<(&str, u32)> = engines.iter().map(|name| (name.as_str(), SLOTS)).collect();
     let names: Vec<&str> = routers.iter().map(String::as_str).collect();
-    let shares = assign(&upstreams, &names);
+    let shares = assign_slots(&upstreams, &names);
     let number = |name: &str| names.iter().position(|one| *one == name).unwrap_or(0);
     engines
         .iter()
@@ -212,17 +214,17 @@
         .collect()
 }
 
-fn desk(mix: &Mix, router: usize, routers: usize) -> Desk<usize> {
-    let mut desk = Desk::new(&format!("dc-{}", router % mix.centres));
-    desk.set_most(QUEUE);
+fn desk(mix: &Mix, router: usize, routers: usize) -> Dispatcher<usize> {
+    let mut desk = Dispatcher::new(&format!("dc-{}", router % mix.centres));
+    desk.set_capacity(QUEUE);
     for (engine, owners) in owners(mix, routers).iter().enumerate() {
         if let Some((_, slots)) = owners.iter().find(|(owner, _)| *owner == router) {
-            let spec = Spec {
+            let spec = UpstreamSpec {
                 data_centre: format!("dc-{}", engine % mix.centres),
                 limit: *slots,
                 models: vec![MODEL.to_owned()],
             };
-            desk.board.set(&name(engine), spec);
+            desk.pool.set(&name(engine), spec);
         }
     }
     desk
@@ -308,13 +310,13 @@
         let router = request.router;
         let team = format!("team-{}", request.team);
         let want = want(self.mix, request, &team);
-        let (entered, displaced) = self.desks[router].enter(&want, id, self.now);
+        let (entered, displaced) = self.desks[router].submit(&want, id, self.now);
         if let Some(displaced) = displaced {
             self.forget(displaced, router);
         }
         match entered {
-            Entered::Chosen(choice) => self.send(id, index(&choice.upstream)),
-            Entered::Waiting(number) => {
+            SubmitOutcome::Chosen(choice) => self.send(id, index(&choice.upstream)),
+            SubmitOutcome::Waiting(number) => {
                 self.requests[id].waits.push((router, number));
                 self.wait_at_peers(id);
             }
@@ -326,7 +328,7 @@
     fn home(&self, id: usize) -> usize {
         let engines: Vec<String> = (0..self.engines.len()).map(name).collect();
         let serving: Vec<&str> = engines.iter().map(String::as_str).collect();
-        index(home(&serving, self.requests[id].prefix))
+        index(home_upstream(&serving, self.requests[id].prefix))
     }
 
     /// Asks an owner of the prefix's preferred engine for one of its slots, where a cached prefix saves much.
@@ -361,16 +363,16 @@
             let team = format!("team-{}", request.team);
             let want = want(self.mix, request, &team);
             self.messages += 2;
-            let (entered, displaced) = self.desks[peer].enter(&want, id, self.now);
+            let (entered, displaced) = self.desks[peer].submit(&want, id, self.now);
             if let Some(displaced) = displaced {
                 self.forget(displaced, peer);
             }
             match entered {
-                Entered::Chosen(choice) => {
+                SubmitOutcome::Chosen(choice) => {
                     self.granted(id, peer);
                     return self.send(id, index(&choice.upstream));
                 }
-                Entered::Waiting(number) => self.requests[id].waits.push((peer, number)),
+                SubmitOutcome::Waiting(number) => self.requests[id].waits.push((peer, number)),
                 _ => {}
             }
         }
@@ -385,7 +387,7 @@
     fn granted(&mut self, id: usize, router: usize) {
         for (at, number) in std::mem::take(&mut self.requests[id].waits) {
             if at != router {
-                self.desks[at].served(MODEL, number, self.now);
+                self.desks[at].remove_served(MODEL, number, self.now);
             }
         }
         self.requests[id].lender = Some(router);
@@ -439,8 +441,8 @@
     fn fail(&mut self, id: usize, engine: usize) {
         let router = self.slot_of(id);
         if matches!(self.policy, Policy::Tallypaddle | Policy::OneRouter) {
-            self.desks[router].board.end(&name(engine));
-            self.desks[router].board.fail(&name(engine), self.now);
+            self.desks[router].pool.release(&name(engine));
+            self.desks[router].pool.record_failure(&name(engine), self.now);
         }
         self.requests[id].lender = None;
         if self.requests[id].attempts >= ATTEMPTS {
@@ -465,8 +467,8 @@
         if matches!(self.policy, Policy::Tallypaddle | Policy::OneRouter) {
             let class = &self.mix.classes[self.requests[id].class];
             let gap = (self.now - first) as f64 / class.tokens as f64;
-            self.desks[router].board.succeed(&name(engine), Some(gap));
-            self.desks[router].board.end(&name(engine));
+            self.desks[router].pool.record_success(&name(engine), Some(gap));
+            self.desks[router].pool.release(&name(engine));
             self.advance(router);
         }
     }
@@ -475,7 +477,7 @@
         for id in self.desks[router].expire(self.now) {
             self.forget(id, router);
         }
-        for (id, choice) in self.desks[router].advance(self.now, |_| false) {
+        for (id, choice) in self.desks[router].dispatch_waiting(self.now, |_| false) {
             self.granted(id, router);
             self.send(id, index(&choice.upstream));
         }
@@ -506,10 +508,10 @@
         };
         for router in 0..self.desks.len() {
             for (engine, busy) in old.iter().enumerate() {
-                let report = Report { slots: SLOTS, busy: *busy, leaving: false };
-                self.desks[router].board.report(&name(engine), report, self.now);
+                let report = LoadReport { slots: SLOTS, busy: *busy, leaving: false };
+                self.desks[router].pool.record_report(&name(engine), report, self.now);
                 for prefix in self.forgotten(engine) {
-                    self.desks[router].board.cache(&name(engine), prefix, false);
+                    self.desks[router].pool.record_cache_event(&name(engine), prefix, false);
                 }
             }
             self.advance(router);
@@ -533,7 +535,7 @@
                 for router in 0..routers.min(3) {
                     let mut fresh = desk(self.mix, router, routers);
                     // What it had open goes on at the engines; its successor does not know of it.
-                    fresh.board.warm_up(self.now + 30_000);
+                    fresh.pool.trust_reports_until(self.now + 30_000);
                     std::mem::swap(&mut self.desks[router], &mut fresh);
                 }
             }
