--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,28 +1,28 @@
-//! Whether an upstream is fit for work, from what this router saw of it.
+//! The health of an upstream, as observed by this router.
 
 use crate::Millis;
 
-/// Failures in a row after which an upstream is ejected.
+/// The number of failures in a row after which an upstream is ejected.
 const EJECTION_FAILURES: u32 = 3;
-/// The first ejection's length; it doubles with each further one.
+/// The length of the first ejection, in milliseconds. It doubles with each further one.
 const EJECTION_MS: Millis = 1_000;
-/// The longest ejection.
+/// The longest ejection, in milliseconds.
 const MAX_EJECTION_MS: Millis = 30_000;
-/// The time after which one failure is forgotten.
+/// The time after which one failure expires, in milliseconds.
 const FAILURE_EXPIRY_MS: Millis = 1_000;
-/// Successes after which an upstream that returned is trusted with its whole limit.
+/// The number of successes after which an upstream on probation may use its whole limit again.
 const PROBATION_SUCCESSES: u32 = 8;
 /// The weight of a new sample in the average gap between tokens.
 const GAP_WEIGHT: f64 = 0.05;
 
-/// An upstream's standing.
+/// The health status of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HealthStatus {
-    /// Healthy.
+    /// It may use its whole limit.
     Healthy,
-    /// Back from an ejection: at most so many runs at once.
+    /// It has returned from an ejection and may have at most this many runs at once.
     Probation(u32),
-    /// Ejected.
+    /// It gets no work.
     Ejected,
 }
 
@@ -58,21 +58,22 @@
         }
     }
 
-    /// Notes a failure; `true` if it should be ejected now.
+    /// Records a failure. Returns whether the upstream should be ejected now.
     pub(crate) fn record_failure(&mut self, now: Millis) -> bool {
         self.failures += 1;
         self.last_failure = now;
         self.failures >= EJECTION_FAILURES || self.on_probation
     }
 
-    /// Failures in a row that are still held against it: each is forgotten after a while, so that an
-    /// upstream which can't be ejected is tried again.
+    /// The number of failures in a row that have not expired. They expire one by one, so that an upstream
+    /// which can't be ejected is tried again.
     pub(crate) fn recent_failures(&self, now: Millis) -> u32 {
         let expired = now.saturating_sub(self.last_failure) / FAILURE_EXPIRY_MS;
         self.failures.saturating_sub(expired as u32)
     }
 
-    /// Ejects it until the time that is returned; `spared` ones come back after the shortest time.
+    /// Ejects the upstream and returns the time at which the ejection ends. If `is_shortened` is set, the
+    /// ejection has the shortest length.
     pub(crate) fn eject(&mut self, now: Millis, is_shortened: bool) -> Millis {
         let doublings = if is_shortened { 0 } else { self.ejections.min(10) };
         self.ejected_until = now + (EJECTION_MS << doublings).min(MAX_EJECTION_MS);
@@ -83,13 +84,13 @@
         self.ejected_until
     }
 
-    /// Notes the average gap between a run's tokens.
+    /// Records the average gap between the tokens of a run.
     pub(crate) fn record_gap(&mut self, gap_ms: f64) {
         self.gap_ms =
             if self.gap_ms == 0.0 { gap_ms } else { self.gap_ms + GAP_WEIGHT * (gap_ms - self.gap_ms) };
     }
 
-    /// The average gap between tokens in milliseconds; 0 if none was seen.
+    /// The average gap between tokens, in milliseconds; 0 if none was observed.
     pub(crate) fn token_gap_ms(&self) -> f64 {
         self.gap_ms
     }
--- a/crates/route/src/pauses.rs
+++ b/crates/route/src/pauses.rs
@@ -1,56 +1,65 @@
-//! The times between the events of one stream, and what they say of its engine.
+//! The pauses between the events of one stream, and what they say about its engine.
 
-/// How many pauses are looked at together: some of them without reading, most of the time.
-const TOGETHER: u32 = 8;
-/// A pause tells of prompts that were read if it is longer than this multiple of the usual one before it.
-const READING: f64 = 3.0;
+/// The number of pauses per series. Most of the time, some pauses of a series pass without the engine reading
+/// a prompt.
+const SERIES_LENGTH: u32 = 8;
+/// A pause this many times longer than the baseline of the last series indicates that the engine read prompts
+/// meanwhile.
+const LONG_FACTOR: f64 = 3.0;
 
-/// The pauses of one stream.
+/// Tracks the pauses of one stream.
 ///
-/// They are taken in pairs: an engine may put more tokens in one event and fewer in the next.
+/// Pauses are averaged in pairs, because an engine may put more tokens into one event and fewer into the
+/// next.
 #[derive(Clone, Copy, Debug)]
 pub struct PauseTracker {
-    /// When the last event came, in milliseconds.
-    last: f64,
-    /// The pause before it, if that was the first of a pair.
-    first: Option<f64>,
-    /// The shortest average of a pair in this series.
-    least: f64,
+    /// The time of the last event, in milliseconds.
+    last_event: f64,
+    /// The previous pause, if it is the first one of a pair.
+    unpaired: Option<f64>,
+    /// The shortest average of a pair in the current series, in milliseconds.
+    shortest_pair: f64,
     count: u32,
-    /// The same of the last full series.
-    quiet: f64,
+    /// The shortest average of a pair in the last complete series, in milliseconds.
+    baseline: f64,
 }
 
-/// What a new event says of its engine.
+/// What a new event says about the engine of its stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PauseKind {
-    /// So many milliseconds are the shortest two pauses of a series on average.
+    /// A series is complete. The value is the shortest average of a pair of its pauses, in milliseconds.
     Baseline(f64),
-    /// So many milliseconds are more than usual.
+    /// The pause was unusually long. The value is its length, in milliseconds.
     Long(f64),
-    /// Nothing new.
+    /// The pause says nothing new.
     Normal,
 }
 
 impl PauseTracker {
-    /// The pauses of a stream whose first event came at `now`, in milliseconds.
+    /// Creates a tracker for a stream whose first event arrived at `now`, in milliseconds.
     pub fn new(now: f64) -> PauseTracker {
-        PauseTracker { last: now, first: None, least: f64::INFINITY, count: 0, quiet: f64::INFINITY }
+        PauseTracker {
+            last_event: now,
+            unpaired: None,
+            shortest_pair: f64::INFINITY,
+            count: 0,
+            baseline: f64::INFINITY,
+        }
     }
 
-    /// Takes in that an event came at `now`, in milliseconds.
+    /// Records that an event arrived at `now`, in milliseconds.
     pub fn record(&mut self, now: f64) -> PauseKind {
-        let ms = now - std::mem::replace(&mut self.last, now);
-        match self.first.take() {
-            Some(first) => self.least = self.least.min((first + ms) / 2.0),
-            None => self.first = Some(ms),
+        let ms = now - std::mem::replace(&mut self.last_event, now);
+        match self.unpaired.take() {
+            Some(first) => self.shortest_pair = self.shortest_pair.min((first + ms) / 2.0),
+            None => self.unpaired = Some(ms),
         }
         self.count += 1;
-        if self.count == TOGETHER {
-            self.quiet = std::mem::replace(&mut self.least, f64::INFINITY);
+        if self.count == SERIES_LENGTH {
+            self.baseline = std::mem::replace(&mut self.shortest_pair, f64::INFINITY);
             self.count = 0;
-            return PauseKind::Baseline(self.quiet);
+            return PauseKind::Baseline(self.baseline);
         }
-        if ms > READING * self.quiet { PauseKind::Long(ms) } else { PauseKind::Normal }
+        if ms > LONG_FACTOR * self.baseline { PauseKind::Long(ms) } else { PauseKind::Normal }
     }
 }
--- a/crates/route/src/placement.rs
+++ b/crates/route/src/placement.rs
@@ -401,7 +401,7 @@
             events_ms: estimate.events_ms,
             is_long: scene.is_some_and(|scene| scene.is_long),
             is_reserved: estimate.is_kept,
-            event_ms: upstream.pace.quiet(),
+            event_ms: upstream.pace.event_ms(),
             open: upstream.runs(now),
             candidates: candidates.len(),
         })
@@ -449,7 +449,7 @@
         }
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         if let Some(ms) = told.event_ms {
-            upstream.pace.hear(ms);
+            upstream.pace.record_hint(ms);
         }
         upstream.heard.retain(|until| *until > now as f64);
         if upstream.heard.len() < HEARD_RUNS {
@@ -482,7 +482,7 @@
         let Some(awaited) = awaited.filter(|awaited| awaited.is_alone) else { return };
         let ms = now.saturating_sub(awaited.sent) as f64 / upstream.pace.slowness(usual);
         if let Some(service) = self.services.get_mut(&upstream.site.service) {
-            service.model.learn_first(ms, f64::from(awaited.unread));
+            service.model.record_first_answer(ms, f64::from(awaited.unread));
         }
     }
 
@@ -503,7 +503,7 @@
     /// Notes the shortest of a few times between two events of a stream.
     pub fn record_baseline_pause(&mut self, name: &str, ms: f64) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.pace.learn(ms);
+            upstream.pace.record(ms);
         }
     }
 
@@ -544,7 +544,7 @@
             });
             let members = serving.map(|(name, upstream)| Member {
                 name,
-                slowness: upstream.pace.quiet().map(|_| upstream.pace.slowness(usual)),
+                slowness: upstream.pace.event_ms().map(|_| upstream.pace.slowness(usual)),
             });
             let gap_ms = known.load.gap_ms;
             let harm = |slowness| known.harm.share(slowness, gap_ms, now);
--- a/crates/route/src/placement/estimate.rs
+++ b/crates/route/src/placement/estimate.rs
@@ -79,7 +79,7 @@
     pub(super) fn estimate(&self, name: &str, engine: &Upstream) -> Estimate {
         let uncached = engine.uncached(self.prompt.parts, self.home == Some(name), self.now);
         let slowness = engine.pace.slowness(self.usual);
-        let ahead_ms = engine.reads.left_ms(self.now);
+        let ahead_ms = engine.reads.remaining_ms(self.now);
         let runs = engine.runs(self.now);
         let slot_ms = self.run_ms * slowness * runs_to_end(runs, engine.site.slots);
         let first_ms = slot_ms + ahead_ms + self.model.first_ms(f64::from(uncached)) * slowness;
@@ -90,7 +90,7 @@
             _ => 0.0,
         };
         let cost = first_ms + mixed + RUN_COST * f64::from(runs) + REREAD_COST * f64::from(uncached);
-        let pace = engine.pace.quiet().unwrap_or(self.usual);
+        let pace = engine.pace.event_ms().unwrap_or(self.usual);
         let events_ms = self.prompt.events as f64 * pace;
         let lasts_ms = first_ms + events_ms * self.stretch;
         Estimate { cost, uncached, first_ms, lasts_ms, events_ms, is_kept }
--- a/crates/route/src/retry_budget.rs
+++ b/crates/route/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries as a bounded share of traffic, so that they never make an overload worse.
+//! Limits retries to a share of the requests, so that retries never make an overload worse.
 //!
 //! ```
 //! let mut budget = route::RetryBudget::new(0.5);
@@ -8,41 +8,42 @@
 //! assert!(!budget.withdraw());
 //! ```
 
-/// Retries that can be saved up.
-const SAVINGS: f64 = 10.0;
+/// The largest number of retries that can accumulate.
+const MAX_RETRIES: f64 = 10.0;
 
-/// The retries that recent requests have earned.
+/// A budget of retries that is filled by requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     share: f64,
-    level: f64,
+    balance: f64,
 }
 
 impl RetryBudget {
-    /// Earns `share` of a retry with each request.
+    /// Creates an empty budget to which each request adds `share` of a retry.
     pub fn new(share: f64) -> RetryBudget {
-        RetryBudget { share, level: 0.0 }
+        RetryBudget { share, balance: 0.0 }
     }
 
-    /// Changes the share. The first one above 0 fills the savings, so that a new router can retry.
+    /// Changes the share. When it changes from 0 to a positive share, the budget is filled up, so that a
+    /// router that has just started can retry.
     pub fn set_share(&mut self, share: f64) {
         if self.share == 0.0 && share > 0.0 {
-            self.level = SAVINGS;
+            self.balance = MAX_RETRIES;
         }
         self.share = share;
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn deposit(&mut self) {
-        self.level = (self.level + self.share).min(SAVINGS);
+        self.balance = (self.balance + self.share).min(MAX_RETRIES);
     }
 
-    /// Takes one retry, if one was earned.
+    /// Takes one retry from the budget, if there is one. Returns whether there was.
     pub fn withdraw(&mut self) -> bool {
-        let earned = self.level >= 1.0;
-        if earned {
-            self.level -= 1.0;
+        let is_covered = self.balance >= 1.0;
+        if is_covered {
+            self.balance -= 1.0;
         }
-        earned
+        is_covered
     }
 }
--- a/crates/route/tests/places.rs
+++ b/crates/route/tests/places.rs
@@ -207,7 +207,7 @@
         for tokens in [200.0, 900.0, 3_000.0, 9_000.0] {
             // One in five waits behind work that this router does not know of.
             let unknown = if round % 5 == 0 { 400.0 } else { 0.0 };
-            model.learn_first(80.0 + tokens / 30.0 + unknown, tokens);
+            model.record_first_answer(80.0 + tokens / 30.0 + unknown, tokens);
         }
     }
     for tokens in [200.0, 900.0, 3_000.0, 9_000.0] {
