--- a/crates/route/src/engine.rs
+++ b/crates/route/src/engine.rs
@@ -11,7 +11,8 @@
 const DEFAULT_EVENT_MS: f64 = 20.0;
 /// The longest prompt of each size class, in tokens. The time of a class is that of a prompt of this size.
 const CLASS_SIZES: [f64; 7] = [250.0, 500.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0, 16_000.0];
-/// The relative step by which an answer moves the time of its size class, for the first answers and for later ones.
+/// The relative step by which an answer moves the time of its size class, for the first answers and for later
+/// ones.
 /// The time moves by a fixed step up or down and so approaches the median: answers that waited behind work
 /// unknown to this router don't count more than others.
 const INITIAL_STEP: f64 = 0.1;
--- a/crates/route/src/placement.rs
+++ b/crates/route/src/placement.rs
@@ -1,14 +1,15 @@
-//! Placing requests on the upstreams of many services, by an estimate of the time to the first answer.
+//! Places requests on the upstreams of many services, by an estimate of the time to the first answer.
 //!
-//! Routers share no counts: each estimates an upstream's load from its own dispatches and from those that others
-//! tell it of. Requests with a common prompt part prefer the same upstream at every router, so its cache and the
-//! others' load stay predictable. Long prompts and short ones go to different engines where there are both.
+//! Routers share no counts: each estimates an upstream's load from its own dispatches and from those that
+//! other routers report. Requests with a common prompt part prefer the same upstream at every router, so that
+//! its cache and the load from other routers stay predictable. If a service has engines for both, long and
+//! short prompts go to different engines.
 
 mod estimate;
 mod upstream;
 
-use self::estimate::{Scene, plain, typical_call};
-use self::upstream::{Awaited, Running, Service, Upstream};
+use self::estimate::{EngineEstimator, estimate_plain, median_call_ms};
+use self::upstream::{AwaitingDispatch, RunningDispatch, Service, Upstream};
 use crate::Millis;
 use crate::division::{Division, Member};
 use crate::engine::{self, Model, Pace};
@@ -22,163 +23,166 @@
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Weight of a new outcome in the share of failures.
-const FAILURE_SAMPLE: f64 = 0.2;
-/// Weight of a new sample in the average pace of a plain service.
-const PACE_SAMPLE: f64 = 0.1;
-/// Others' runs remembered for each engine.
-const HEARD_RUNS: usize = 512;
-/// How many times longer than its events alone a run is taken to last at least and at most: one that was broken off says
-/// less.
-const STRETCH: (f64, f64) = (1.0, 4.0);
-/// How long the usual pace of a service's engines is believed, in milliseconds: it takes seconds to change, and to find it
-/// sorts those of all engines, for each dispatch that is sent or heard of.
-const USUAL_MS: Millis = 100;
-/// Pauses below this part of the intended longest one are not counted: they are too long at no engine that gets work.
-const SHORT_PAUSE: f64 = 0.5;
-/// Pauses told with one dispatch at most: a datagram holds them.
-const TOLD_PAUSES: usize = 16;
-
-/// The longest time that another router is believed to expect of a run, in milliseconds, and the longest prompt, in tokens:
-/// some times what today's engines take.
-const LONGEST_MS: f64 = 600_000.0;
-const MOST_TOKENS: u32 = 4_000_000;
-
-/// A part of a prompt, in the order in which the prompt holds them.
+/// The weight of a new outcome in the share of failures.
+const FAILURE_WEIGHT: f64 = 0.2;
+/// The weight of a new sample in the average time of a call to a plain service.
+const CALL_TIME_WEIGHT: f64 = 0.1;
+/// The number of other routers' runs remembered for each engine.
+const MAX_REPORTED_RUNS: usize = 512;
+/// The minimum and maximum factor by which a run is assumed to take longer than its events alone. Samples are
+/// limited to this range, since a run that was broken off says little about the duration.
+const STRETCH_RANGE: (f64, f64) = (1.0, 4.0);
+/// The time for which the usual pace of a service's engines is cached, in milliseconds. The pace takes
+/// seconds to change, and computing it sorts the paces of all engines, for each dispatch that is sent or
+/// reported.
+const PACE_CACHE_MS: Millis = 100;
+/// Pauses below this share of the intended longest pause are not counted: they are too long on no engine that
+/// gets work.
+const MIN_PAUSE_SHARE: f64 = 0.5;
+/// The largest number of pauses reported with one dispatch, so that they fit into a datagram.
+const MAX_REPORTED_PAUSES: usize = 16;
+
+/// The longest run, in milliseconds, and the longest prompt, in tokens, that are accepted from another
+/// router's report: several times what current engines handle.
+const MAX_RUN_MS: f64 = 600_000.0;
+const MAX_PROMPT_TOKENS: u32 = 4_000_000;
+
+/// A part of a prompt. The parts are in the order in which they occur in the prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptPart {
-    /// Its identity.
+    /// The identity of the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length of the part, in tokens.
     pub tokens: u32,
 }
 
 /// An upstream as the platform lists it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UpstreamInfo {
-    /// The service that it runs.
+    /// The service that the upstream runs.
     pub service: String,
-    /// Its data centre.
+    /// The data centre of the upstream.
     pub data_centre: String,
-    /// Requests that it works on at once.
+    /// The number of requests that the upstream works on at once.
     pub slots: u32,
 }
 
-/// A prompt, and what its stream is meant to keep to.
+/// A prompt, and the targets for its stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt<'a> {
-    /// Its parts, in order.
+    /// The parts of the prompt, in order.
     pub parts: &'a [PromptPart],
-    /// All of its tokens.
+    /// The length of the whole prompt, in tokens.
     pub input: u64,
-    /// Events that are expected to come out.
+    /// The expected number of events in the answer.
     pub events: u64,
-    /// The time to a first answer that the operator aims at, in milliseconds.
+    /// The operator's target for the time to the first answer, in milliseconds.
     pub target_ms: u64,
-    /// The longest pause between events that the operator aims at, in milliseconds.
+    /// The operator's target for the longest pause between events, in milliseconds.
     pub gap_ms: u64,
 }
 
-/// What a request needs.
+/// The requirements of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The service.
+    /// The service that the request is for.
     pub service: &'a str,
-    /// The prompt, if it is for an engine.
+    /// The prompt, if the request is for an engine.
     pub prompt: Option<Prompt<'a>>,
     /// Upstreams that must not be chosen again.
     pub avoid: &'a [String],
 }
 
-/// The chosen upstream, and what decided it.
+/// The chosen upstream, and the estimates that decided.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The upstream.
+    /// The name of the upstream.
     pub upstream: String,
-    /// The estimate that decided, in milliseconds.
+    /// The cost that decided, in milliseconds.
     pub cost: f64,
-    /// Prompt tokens that it has to read.
+    /// The prompt tokens that are not cached and have to be read.
     pub uncached: u32,
-    /// The time to the first answer, as estimated, in milliseconds.
+    /// The estimated time to the first answer, in milliseconds.
     pub first_ms: f64,
-    /// Whether the prompt is long for the streams beside it.
+    /// Whether reading the prompt takes long compared with the longest pause that streams on the same engine
+    /// should have.
     pub is_long: bool,
-    /// Whether the upstream is kept for short work.
+    /// Whether the upstream is reserved for short prompts.
     pub is_reserved: bool,
-    /// The time between two events while nothing is read there, in milliseconds, if it is known.
+    /// The time between two events while the upstream reads no prompt, in milliseconds, if it is known.
     pub event_ms: Option<f64>,
-    /// How long the run should last, in milliseconds.
+    /// The expected duration of the run, in milliseconds.
     pub lasts_ms: f64,
-    /// How long its events would take while nothing is read, in milliseconds.
+    /// The expected duration of the run's events if the upstream reads no prompt meanwhile, in milliseconds.
     pub events_ms: f64,
-    /// Requests that it has, as far as this router knows.
+    /// The number of requests on the upstream that this router knows of.
     pub open: u32,
-    /// How many could be chosen.
+    /// The number of upstreams that could be chosen.
     pub candidates: usize,
 }
 
-/// A dispatch, as its router tells the others of it.
+/// A dispatch as its router reports it to the others.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct DispatchHint {
-    /// Prompt tokens that have to be read.
+    /// The prompt tokens that have to be read.
     pub unread: u32,
-    /// How long the run should last, in milliseconds.
+    /// The expected duration of the run, in milliseconds.
     pub lasts_ms: f64,
-    /// What its router takes the time between two events of this engine to be while nothing is read, in milliseconds, if
-    /// it knows.
+    /// The time between two events of this engine while it reads no prompt, as its router estimates it, in
+    /// milliseconds, if known.
     pub event_ms: Option<f64>,
-    /// Long pauses of streams of the same service that its router saw since it told the last dispatch, in milliseconds at
-    /// an engine of the usual speed.
+    /// Long pauses of streams of the same service that the router observed since its last report, in
+    /// milliseconds, scaled to an engine of the usual speed.
     #[serde(default)]
     pub pauses_ms: SmallVec<[u16; 4]>,
-    /// What its router dispatched to the same service since it told the last dispatch, this one included.
+    /// The totals of the router's dispatches to the same service since its last report, including this one.
     #[serde(default)]
     pub since: DispatchTotals,
 }
 
 impl DispatchHint {
-    /// Whether its figures can be of a dispatch: those of an altered message may be anything.
+    /// Whether the values are plausible for a dispatch. Those of an altered message may be anything.
     pub fn is_plausible(&self) -> bool {
-        let is_time = |ms: f64| (0.0..LONGEST_MS).contains(&ms);
-        self.unread <= MOST_TOKENS && is_time(self.lasts_ms) && self.event_ms.is_none_or(is_time)
+        let is_time = |ms: f64| (0.0..MAX_RUN_MS).contains(&ms);
+        self.unread <= MAX_PROMPT_TOKENS && is_time(self.lasts_ms) && self.event_ms.is_none_or(is_time)
     }
 }
 
-/// Dispatches to one service, summed up: not each of them is told, but all count in the load and among the streams that
-/// may be late.
+/// Totals of dispatches to one service. Not every dispatch is reported, but all of them count towards the
+/// load and towards the streams that may be late.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct DispatchTotals {
-    /// Tokens of long prompts that had to be read.
+    /// The tokens of long prompts that had to be read.
     pub long: u32,
-    /// Tokens of short ones.
+    /// The tokens of short prompts that had to be read.
     pub short: u32,
-    /// Short streams that began where long prompts are read too.
+    /// The number of short streams that started on engines which also read long prompts.
     pub streams: u32,
 }
 
 /// The number of one of this router's dispatches.
 pub type DispatchId = u64;
 
-/// The upstreams as one router sees them.
+/// The upstreams that one router knows.
 #[derive(Clone, Debug)]
 pub struct Placer {
     data_centre: String,
     upstreams: BTreeMap<String, Upstream>,
-    /// Outlives the upstreams' places in the list.
+    /// Kept even if the upstreams disappear from the list.
     signals: Signals,
-    /// Data centres whose upstreams get nothing, by the operators' word.
+    /// Data centres whose upstreams get no requests, on the operators' request.
     evacuated: BTreeSet<String>,
     warmups: HashMap<String, Warmup>,
-    /// The gateways, for the parts that each takes of what upstreams bear while they warm up.
+    /// The gateways, which determine this gateway's part of what upstreams accept while they warm up.
     pub roster: Roster,
     services: HashMap<String, Service>,
-    awaited: HashMap<DispatchId, Awaited>,
-    running: HashMap<DispatchId, Running>,
-    tickets: DispatchId,
+    awaiting: HashMap<DispatchId, AwaitingDispatch>,
+    running: HashMap<DispatchId, RunningDispatch>,
+    last_id: DispatchId,
 }
 
 impl Placer {
-    /// No upstreams, seen from `data_centre`.
+    /// Creates a placer without upstreams for a router in `data_centre`.
     pub fn new(data_centre: &str) -> Placer {
         Placer {
             data_centre: data_centre.to_owned(),
@@ -188,34 +192,34 @@
             warmups: HashMap::new(),
             roster: Roster::default(),
             services: HashMap::new(),
-            awaited: HashMap::new(),
+            awaiting: HashMap::new(),
             running: HashMap::new(),
-            tickets: 0,
+            last_id: 0,
         }
     }
 
     /// Adds or changes an upstream.
-    pub fn set(&mut self, name: &str, site: UpstreamInfo, leaving: bool) {
+    pub fn set(&mut self, name: &str, info: UpstreamInfo, leaving: bool) {
         match self.upstreams.get_mut(name) {
             Some(upstream) => {
-                upstream.site = site;
+                upstream.info = info;
                 upstream.leaving = leaving;
             }
             None => {
                 let upstream = Upstream {
-                    site,
-                    first: self.tickets + 1,
+                    info,
+                    first_dispatch: self.last_id + 1,
                     leaving,
                     open: 0,
                     overdue: 0,
                     reads: ReadQueue::default(),
-                    heard: VecDeque::new(),
+                    reported_runs: VecDeque::new(),
                     pace: Pace::default(),
                     failures: 0.0,
                     call_ms: 0.0,
                     health: Health::default(),
                     parts: HashMap::new(),
-                    order: VecDeque::new(),
+                    part_order: VecDeque::new(),
                     warming: Warming::default(),
                 };
                 self.upstreams.insert(name.to_owned(), upstream);
@@ -223,77 +227,81 @@
         }
     }
 
-    /// Takes an upstream away that is not listed any more. What it said of itself holds on: its entry may come back.
+    /// Removes an upstream that is no longer listed. What it signalled about itself stays in force, since its
+    /// entry may come back.
     pub fn remove(&mut self, name: &str) {
         self.upstreams.remove(name);
     }
 
-    /// Forgets an upstream with all it said: another life of it begins.
+    /// Removes an upstream and all that it signalled, because a new instance of it has started.
     pub fn forget(&mut self, name: &str) {
         self.upstreams.remove(name);
         self.signals.forget(name);
     }
 
-    /// Takes in an upstream's word that it leaves; `true` if that is new.
+    /// Records that an upstream signalled that it is leaving. Returns whether this is new.
     pub fn mark_leaving(&mut self, name: &str, now: Millis) -> bool {
         self.signals.leave(name, now)
     }
 
-    /// Takes in that an upstream wants nothing for so many milliseconds; those that it gets.
+    /// Records that an upstream asked to get no requests for `ms` milliseconds. Returns the time that it is
+    /// granted.
     pub fn back_off(&mut self, name: &str, ms: Millis, now: Millis) -> Millis {
         self.signals.rest(name, ms, now)
     }
 
-    /// Whether an upstream takes work, by the list, by its own word and by the operators'.
+    /// Whether an upstream accepts requests, according to the list, its own signals and the operators.
     pub fn admits(&self, name: &str, now: Millis) -> bool {
         let is_listed = |upstream: &Upstream| !upstream.leaving && !self.is_evacuated(upstream);
         self.upstreams.get(name).is_some_and(is_listed) && self.signals.admits(name, now)
     }
 
     fn is_evacuated(&self, upstream: &Upstream) -> bool {
-        self.evacuated.contains(&upstream.site.data_centre)
+        self.evacuated.contains(&upstream.info.data_centre)
     }
 
-    /// Sends nothing more to the upstreams of a data centre; `true` if that is new.
+    /// Stops dispatches to the upstreams of a data centre. Returns whether this is new.
     pub fn evacuate(&mut self, data_centre: &str) -> bool {
         self.evacuated.insert(data_centre.to_owned())
     }
 
-    /// Takes a data centre's upstreams back; `true` if they got nothing before. They may have lost their caches meanwhile, which the
-    /// list may tell later than this comes, and are taken to warm up.
+    /// Resumes dispatches to the upstreams of a data centre. Returns whether they were stopped. They may have
+    /// lost their caches meanwhile, which the list may report only later, so they are assumed to be warming
+    /// up.
     pub fn restore(&mut self, data_centre: &str, now: Millis) -> bool {
         if !self.evacuated.remove(data_centre) {
             return false;
         }
         let warmups = &self.warmups;
         for upstream in self.upstreams.values_mut() {
-            let warmup = warmups.get(&upstream.site.service);
-            if let Some(warmup) = warmup.filter(|_| upstream.site.data_centre == data_centre) {
+            let warmup = warmups.get(&upstream.info.service);
+            if let Some(warmup) = warmup.filter(|_| upstream.info.data_centre == data_centre) {
                 upstream.warming.begin(warmup.lasts_ms, now);
             }
         }
         true
     }
 
-    /// The data centres whose upstreams get nothing.
+    /// The data centres whose upstreams get no requests.
     pub fn evacuated(&self) -> impl Iterator<Item = &str> {
         self.evacuated.iter().map(String::as_str)
     }
 
-    /// Takes in what the upstreams of each service bear while they warm up; those of others bear what they always do.
+    /// Sets how many requests the upstreams of each service accept while they warm up. Upstreams of services
+    /// that are not named are not limited.
     pub fn set_warmups(&mut self, warmups: HashMap<String, Warmup>) {
         self.warmups = warmups;
     }
 
-    /// Takes in that an upstream warms up for so many milliseconds from now on.
+    /// Records that an upstream warms up for `ms` milliseconds from now on.
     pub fn warm_up(&mut self, name: &str, ms: Millis, now: Millis) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.warming.begin(ms, now);
         }
     }
 
-    /// Records the request limit that an upstream's answer names, in requests per second from all gateways together;
-    /// `None` if it names none. The answered request was dispatched at `dispatched`.
+    /// Records the request limit that an upstream's answer names, in requests per second from all gateways
+    /// together; `None` if it names none. The answered request was dispatched at `dispatched`.
     pub fn update_limit(
         &mut self,
         name: &str,
@@ -305,7 +313,8 @@
         self.signals.update_limit(name, per_s, dispatched, &sent, now)
     }
 
-    /// Records what another gateway reports about an upstream's request limit. Returns whether the limit begins or ends.
+    /// Records what another gateway reports about an upstream's request limit. Returns whether the limit
+    /// begins or ends.
     pub fn hear_limit(&mut self, name: &str, per_s: Option<f64>, now: Millis) -> bool {
         let sent = self.upstreams.get(name).map(|upstream| upstream.warming.sent(now)).unwrap_or_default();
         self.signals.hear_limit(name, per_s, &sent, now)
@@ -316,74 +325,82 @@
         self.signals.limit_per_s(name)
     }
 
-    /// Whether an upstream accepts one more dispatch of this gateway now; a warm-up or a request limit may prevent it.
+    /// Whether an upstream accepts one more dispatch of this gateway now; a warm-up or a request limit may
+    /// prevent it.
     pub fn has_room(&self, name: &str, now: Millis) -> bool {
-        self.upstreams.get(name).is_none_or(|upstream| self.bears(name, upstream, Heat::Cold, now))
+        self.upstreams.get(name).is_none_or(|upstream| self.has_capacity(name, upstream, Heat::Cold, now))
     }
 
-    /// Whether an upstream bears one more dispatch of this gateway now, if those of this heat count as warming up.
-    fn bears(&self, name: &str, upstream: &Upstream, least: Heat, now: Millis) -> bool {
+    /// Whether an upstream accepts one more dispatch of this gateway now. Upstreams that are at least as cold
+    /// as `limited_from` count as warming up.
+    fn has_capacity(&self, name: &str, upstream: &Upstream, limited_from: Heat, now: Millis) -> bool {
         if self.signals.limit_wait_ms(name, &self.roster, now) > 0 {
             return false;
         }
         match upstream.warming.heat(now) {
             Heat::Warm => return true,
-            Heat::Unsure if least == Heat::Cold => return true,
+            Heat::Unsure if limited_from == Heat::Cold => return true,
             Heat::Unsure | Heat::Cold => {}
         }
-        let warmup = self.warmups.get(&upstream.site.service).copied();
+        let warmup = self.warmups.get(&upstream.info.service).copied();
         upstream.warming.admits(name, warmup, &self.roster, now)
     }
 
-    /// Whether an upstream leaves, by the list or by its own word, or has left: then it ends of its own accord.
+    /// Whether an upstream is leaving, according to the list or its own signal, or is no longer listed. Such
+    /// an upstream ends of its own accord.
     pub fn is_leaving(&self, name: &str) -> bool {
         self.upstreams.get(name).is_none_or(|upstream| upstream.leaving) || self.signals.leaves(name)
     }
 
-    /// The time until the first upstream of a service accepts requests again, in milliseconds, if all of them rest or
-    /// have reached their limits; `None` if one accepts requests now, or none is left.
+    /// The time until the first upstream of a service accepts requests again, in milliseconds, if all of them
+    /// have asked to get none or have reached their limits; `None` if one accepts requests now, or none is
+    /// left.
     pub fn wait_ms(&self, service: &str, now: Millis) -> Option<Millis> {
-        let stays = |(name, upstream): &(&String, &Upstream)| {
-            upstream.site.service == service
+        let is_staying = |(name, upstream): &(&String, &Upstream)| {
+            upstream.info.service == service
                 && !upstream.leaving
                 && !self.is_evacuated(upstream)
                 && !self.signals.leaves(name)
         };
-        let staying = self.upstreams.iter().filter(stays);
+        let staying = self.upstreams.iter().filter(is_staying);
         let wait_ms = |name: &str| {
             self.signals.rests_ms(name, now).max(self.signals.limit_wait_ms(name, &self.roster, now))
         };
         staying.map(|(name, _)| wait_ms(name)).min().filter(|ms| *ms > 0)
     }
 
-    /// Chooses the upstream with the least estimated time to a first answer; `None` if nothing serves the need.
-    pub fn choose(&self, need: &PlacementRequest<'_>, now: Millis) -> Option<Placement> {
-        let serving_from = |least: Heat| {
+    /// Chooses the upstream with the lowest cost, which is mainly the estimated time to the first answer;
+    /// `None` if no upstream fits the request.
+    pub fn choose(&self, request: &PlacementRequest<'_>, now: Millis) -> Option<Placement> {
+        let serving_from = |limited_from: Heat| {
             self.upstreams.iter().filter(move |(name, upstream)| {
-                upstream.site.service == need.service
+                upstream.info.service == request.service
                     && !upstream.leaving
                     && !self.is_evacuated(upstream)
                     && self.signals.admits(name, now)
-                    && self.bears(name, upstream, least, now)
-                    && !need.avoid.iter().any(|avoid| avoid == *name)
+                    && self.has_capacity(name, upstream, limited_from, now)
+                    && !request.avoid.iter().any(|avoid| avoid == *name)
             })
         };
-        // Where all may have started again, what gets nothing serves nobody.
-        let least = if serving_from(Heat::Unsure).next().is_some() { Heat::Unsure } else { Heat::Cold };
-        let serving = || serving_from(least);
-        let any_fit = serving().any(|(_, upstream)| upstream.is_fit(now));
+        // If all upstreams may have restarted, those that are not known to have done so are not limited:
+        // otherwise none would accept the request.
+        let limited_from =
+            if serving_from(Heat::Unsure).next().is_some() { Heat::Unsure } else { Heat::Cold };
+        let serving = || serving_from(limited_from);
+        let is_any_available = serving().any(|(_, upstream)| upstream.is_available(now));
         let candidates: SmallVec<[(&str, &Upstream); 32]> = serving()
-            .filter(|(_, upstream)| !any_fit || upstream.is_fit(now))
+            .filter(|(_, upstream)| !is_any_available || upstream.is_available(now))
             .map(|(name, upstream)| (name.as_str(), upstream))
             .collect();
         let unknown = Service::default();
-        let service = self.services.get(need.service).unwrap_or(&unknown);
-        let scene = need.prompt.as_ref().map(|prompt| Scene::new(prompt, &candidates, service, now));
-        let typical = typical_call(&candidates);
+        let service = self.services.get(request.service).unwrap_or(&unknown);
+        let estimator =
+            request.prompt.as_ref().map(|prompt| EngineEstimator::new(prompt, &candidates, service, now));
+        let median_ms = median_call_ms(&candidates);
         let estimate = |name: &str, upstream: &Upstream| {
-            let mut estimate = match &scene {
-                Some(scene) => scene.estimate(name, upstream),
-                None => plain(upstream, typical),
+            let mut estimate = match &estimator {
+                Some(estimator) => estimator.estimate(name, upstream),
+                None => estimate_plain(upstream, median_ms),
             };
             estimate.cost += upstream.penalty(&self.data_centre, now);
             estimate
@@ -399,152 +416,164 @@
             first_ms: estimate.first_ms,
             lasts_ms: estimate.lasts_ms,
             events_ms: estimate.events_ms,
-            is_long: scene.is_some_and(|scene| scene.is_long),
-            is_reserved: estimate.is_kept,
+            is_long: estimator.is_some_and(|estimator| estimator.is_long),
+            is_reserved: estimate.is_reserved,
             event_ms: upstream.pace.event_ms(),
-            open: upstream.runs(now),
+            open: upstream.open_runs(now),
             candidates: candidates.len(),
         })
     }
 
-    /// Notes a dispatch as it was chosen.
+    /// Records a dispatch to the chosen upstream.
     pub fn begin(&mut self, chosen: &Placement, prompt: Option<&Prompt<'_>>, now: Millis) -> DispatchId {
-        self.tickets += 1;
-        let ticket = self.tickets;
+        self.last_id += 1;
+        let id = self.last_id;
         if let Some(upstream) = self.upstreams.get_mut(&chosen.upstream) {
             upstream.open += 1;
             upstream.warming.send(now);
             self.signals.send(&chosen.upstream, now);
             let parts = prompt.map(|prompt| prompt.parts).unwrap_or_default();
-            parts.iter().for_each(|part| upstream.remember(part.id, now));
+            parts.iter().for_each(|part| upstream.remember_part(part.id, now));
         }
         if let Some(prompt) = prompt {
             if !chosen.is_long
-                && let Some(service) = self.service_of(&chosen.upstream)
+                && let Some(service) = self.service_mut(&chosen.upstream)
             {
                 service.load.gap_ms = prompt.gap_ms as f64;
-                service.begin_short(&chosen.upstream, now);
+                service.record_short_stream(&chosen.upstream, now);
             }
-            if let Some(service) = self.service_of(&chosen.upstream) {
-                service.send(chosen, now);
+            if let Some(service) = self.service_mut(&chosen.upstream) {
+                service.record_dispatch(chosen, now);
             }
-            let is_alone = self.push(&chosen.upstream, Some(ticket), chosen.uncached, now);
-            self.awaited.insert(
-                ticket,
-                Awaited { sent: now, unread: chosen.uncached, events_ms: chosen.events_ms, is_alone },
+            let was_idle = self.enqueue_read(&chosen.upstream, Some(id), chosen.uncached, now);
+            self.awaiting.insert(
+                id,
+                AwaitingDispatch {
+                    sent: now,
+                    unread: chosen.uncached,
+                    events_ms: chosen.events_ms,
+                    was_idle,
+                },
             );
         }
-        ticket
+        id
     }
 
-    /// Notes another router's dispatch.
-    pub fn hear_dispatch(&mut self, name: &str, told: &DispatchHint, now: Millis) {
-        self.push(name, None, told.unread, now);
-        if let Some(service) = self.service_of(name) {
-            service.load.add(true, told.since.long, now);
-            service.load.add(false, told.since.short, now);
-            service.harm.begin(told.since.streams, now);
+    /// Records a dispatch that another router reports.
+    pub fn hear_dispatch(&mut self, name: &str, hint: &DispatchHint, now: Millis) {
+        self.enqueue_read(name, None, hint.unread, now);
+        if let Some(service) = self.service_mut(name) {
+            service.load.add(true, hint.since.long, now);
+            service.load.add(false, hint.since.short, now);
+            service.harm.begin(hint.since.streams, now);
             let gap_ms = service.load.gap_ms;
-            told.pauses_ms.iter().for_each(|ms| service.harm.pause(f64::from(*ms), gap_ms, now));
+            hint.pauses_ms.iter().for_each(|ms| service.harm.pause(f64::from(*ms), gap_ms, now));
         }
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
-        if let Some(ms) = told.event_ms {
+        if let Some(ms) = hint.event_ms {
             upstream.pace.record_hint(ms);
         }
-        upstream.heard.retain(|until| *until > now as f64);
-        if upstream.heard.len() < HEARD_RUNS {
-            upstream.heard.push_back(now as f64 + told.lasts_ms);
+        upstream.reported_runs.retain(|until| *until > now as f64);
+        if upstream.reported_runs.len() < MAX_REPORTED_RUNS {
+            upstream.reported_runs.push_back(now as f64 + hint.lasts_ms);
         }
     }
 
-    /// Adds a prompt to what an engine has to read; `true` if that was nothing.
-    fn push(&mut self, name: &str, own: Option<DispatchId>, unread: u32, now: Millis) -> bool {
-        let usual = self.usual_beside(name, now);
+    /// Adds a prompt to those that an engine has to read. Returns whether there were none before.
+    fn enqueue_read(&mut self, name: &str, own: Option<DispatchId>, unread: u32, now: Millis) -> bool {
+        let median_pace = self.cached_median_pace(name, now);
         let Some(upstream) = self.upstreams.get_mut(name) else { return false };
-        let service = self.services.entry(upstream.site.service.clone()).or_default();
-        let takes = service.model.read_ms(f64::from(unread));
-        let is_alone = upstream.reads.is_idle(now);
-        upstream.reads.push(own, takes * upstream.pace.slowness(usual), now);
-        is_alone
-    }
-
-    /// Notes the first answer of a dispatch: its prompt was read.
-    pub fn record_first_answer(&mut self, name: &str, ticket: DispatchId, now: Millis) {
-        let usual = self.usual_beside(name, now);
-        let awaited = self.awaited.remove(&ticket);
-        if let Some(Awaited { events_ms, .. }) = awaited {
-            self.running.insert(ticket, Running { since: now, events_ms });
+        let service = self.services.entry(upstream.info.service.clone()).or_default();
+        let read_ms = service.model.read_ms(f64::from(unread));
+        let was_idle = upstream.reads.is_idle(now);
+        upstream.reads.push(own, read_ms * upstream.pace.slowness(median_pace), now);
+        was_idle
+    }
+
+    /// Records the first answer to a dispatch, which means that its prompt was read.
+    pub fn record_first_answer(&mut self, name: &str, id: DispatchId, now: Millis) {
+        let median_pace = self.cached_median_pace(name, now);
+        let awaiting = self.awaiting.remove(&id);
+        if let Some(AwaitingDispatch { events_ms, .. }) = awaiting {
+            self.running.insert(id, RunningDispatch { since: now, events_ms });
         }
-        let Some(upstream) = self.upstreams.get_mut(name).filter(|upstream| ticket >= upstream.first) else {
+        let Some(upstream) = self.upstreams.get_mut(name).filter(|upstream| id >= upstream.first_dispatch)
+        else {
             return;
         };
-        upstream.reads.remove(ticket, true, now);
-        let Some(awaited) = awaited.filter(|awaited| awaited.is_alone) else { return };
-        let ms = now.saturating_sub(awaited.sent) as f64 / upstream.pace.slowness(usual);
-        if let Some(service) = self.services.get_mut(&upstream.site.service) {
-            service.model.record_first_answer(ms, f64::from(awaited.unread));
+        upstream.reads.remove(id, true, now);
+        let Some(awaiting) = awaiting.filter(|awaiting| awaiting.was_idle) else { return };
+        let ms = now.saturating_sub(awaiting.sent) as f64 / upstream.pace.slowness(median_pace);
+        if let Some(service) = self.services.get_mut(&upstream.info.service) {
+            service.model.record_first_answer(ms, f64::from(awaiting.unread));
         }
     }
 
-    /// Notes the end of a dispatch.
-    pub fn end(&mut self, name: &str, ticket: DispatchId, now: Millis) {
-        self.awaited.remove(&ticket);
-        if let Some(running) = self.running.remove(&ticket)
-            && let Some(service) = self.service_of(name)
+    /// Records the end of a dispatch.
+    pub fn end(&mut self, name: &str, id: DispatchId, now: Millis) {
+        self.awaiting.remove(&id);
+        if let Some(running) = self.running.remove(&id)
+            && let Some(service) = self.service_mut(name)
         {
-            service.end_run(running, now);
+            service.record_run_end(running, now);
         }
-        if let Some(upstream) = self.upstreams.get_mut(name).filter(|upstream| ticket >= upstream.first) {
+        if let Some(upstream) = self.upstreams.get_mut(name).filter(|upstream| id >= upstream.first_dispatch)
+        {
             upstream.open = upstream.open.saturating_sub(1);
-            upstream.reads.remove(ticket, false, now);
+            upstream.reads.remove(id, false, now);
         }
     }
 
-    /// Notes the shortest of a few times between two events of a stream.
+    /// Records the shortest of several times between two events of a stream, in milliseconds.
     pub fn record_baseline_pause(&mut self, name: &str, ms: f64) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.pace.record(ms);
         }
     }
 
-    /// Notes a long time between two events of a stream, the second of which came just now.
+    /// Records a long pause between two events of a stream, in milliseconds. The second event arrived at
+    /// `now`.
     pub fn record_pause(&mut self, name: &str, ms: f64, now: Millis) {
-        let usual = self.usual_beside(name, now);
+        let median_pace = self.cached_median_pace(name, now);
         let Some(upstream) = self.upstreams.get(name) else { return };
-        let ms = ms / upstream.pace.slowness(usual);
-        let Some(service) = self.services.get_mut(&upstream.site.service) else { return };
-        if service.division.is_short(name) || ms < SHORT_PAUSE * service.load.gap_ms {
+        let ms = ms / upstream.pace.slowness(median_pace);
+        let Some(service) = self.services.get_mut(&upstream.info.service) else { return };
+        if service.division.is_short(name) || ms < MIN_PAUSE_SHARE * service.load.gap_ms {
             return;
         }
         service.harm.pause(ms, service.load.gap_ms, now);
-        if service.untold.len() < TOLD_PAUSES {
-            service.untold.push(ms as u16);
+        if service.unreported_pauses.len() < MAX_REPORTED_PAUSES {
+            service.unreported_pauses.push(ms as u16);
         }
     }
 
-    /// What the other routers should know of a dispatch.
+    /// The report of a dispatch for the other routers. Includes the pauses and totals that were not reported
+    /// yet.
     pub fn take_hint(&mut self, chosen: &Placement) -> DispatchHint {
         let Placement { uncached: unread, lasts_ms, event_ms, .. } = *chosen;
-        let service = self.service_of(&chosen.upstream);
-        let untold =
-            service.map(|Service { untold, sent, .. }| (std::mem::take(untold), std::mem::take(sent)));
-        let (pauses_ms, since) = untold.unwrap_or_default();
+        let service = self.service_mut(&chosen.upstream);
+        let unreported = service.map(|Service { unreported_pauses, unreported_totals, .. }| {
+            (std::mem::take(unreported_pauses), std::mem::take(unreported_totals))
+        });
+        let (pauses_ms, since) = unreported.unwrap_or_default();
         DispatchHint { unread, lasts_ms, event_ms, pauses_ms, since }
     }
 
-    /// Adapts the division of each service's engines between long and short work, and names those that are kept for
-    /// short work. One router does so, and the others [`follow`](Placer::follow) it.
+    /// Adapts the division of each service's engines between long and short prompts, and returns the engines
+    /// that are reserved for short ones. One router does so, and the others
+    /// [`follow_division`](Placer::follow_division).
     pub fn adapt_divisions(&mut self, now: Millis) -> impl Iterator<Item = (&str, &[String])> {
         for (service, known) in &mut self.services {
-            let like = || self.upstreams.iter().filter(|(_, upstream)| upstream.site.service == *service);
-            let usual = engine::median_pace(like().map(|(_, upstream)| upstream.pace));
-            let serving = like().filter(|(name, upstream)| {
-                let is_evacuated = self.evacuated.contains(&upstream.site.data_centre);
+            let same_service =
+                || self.upstreams.iter().filter(|(_, upstream)| upstream.info.service == *service);
+            let median_pace = engine::median_pace(same_service().map(|(_, upstream)| upstream.pace));
+            let serving = same_service().filter(|(name, upstream)| {
+                let is_evacuated = self.evacuated.contains(&upstream.info.data_centre);
                 !upstream.leaving && !is_evacuated && !self.signals.leaves(name)
             });
             let members = serving.map(|(name, upstream)| Member {
                 name,
-                slowness: upstream.pace.event_ms().map(|_| upstream.pace.slowness(usual)),
+                slowness: upstream.pace.event_ms().map(|_| upstream.pace.slowness(median_pace)),
             });
             let gap_ms = known.load.gap_ms;
             let harm = |slowness| known.harm.share(slowness, gap_ms, now);
@@ -553,7 +582,8 @@
         self.services.iter().map(|(name, service)| (name.as_str(), service.division.short()))
     }
 
-    /// Follows another router's division of a service's engines; `true` if that is new.
+    /// Adopts another router's division of a service's engines. Returns whether it differs from the current
+    /// one.
     pub fn follow_division(&mut self, service: &str, short: &[String]) -> bool {
         let division = &mut self.services.entry(service.to_owned()).or_default().division;
         let is_new = division.short() != short;
@@ -561,103 +591,106 @@
         is_new
     }
 
-    fn service_of(&mut self, name: &str) -> Option<&mut Service> {
+    fn service_mut(&mut self, name: &str) -> Option<&mut Service> {
         let upstream = self.upstreams.get(name)?;
-        Some(self.services.entry(upstream.site.service.clone()).or_default())
+        Some(self.services.entry(upstream.info.service.clone()).or_default())
     }
 
-    /// The usual pace of the engines of an upstream's service, as it was a moment ago.
-    fn usual_beside(&mut self, name: &str, now: Millis) -> f64 {
-        let Some(service) = self.upstreams.get(name).map(|upstream| &upstream.site.service) else {
+    /// The usual pace of the engines of an upstream's service, which may be cached for a moment.
+    fn cached_median_pace(&mut self, name: &str, now: Millis) -> f64 {
+        let Some(service) = self.upstreams.get(name).map(|upstream| &upstream.info.service) else {
             return engine::median_pace(std::iter::empty());
         };
-        if let Some(Service { usual: Some((ms, at)), .. }) = self.services.get(service)
-            && now.saturating_sub(*at) < USUAL_MS
+        if let Some(Service { cached_pace: Some((ms, at)), .. }) = self.services.get(service)
+            && now.saturating_sub(*at) < PACE_CACHE_MS
         {
             return *ms;
         }
-        let like = self.upstreams.values().filter(|other| other.site.service == *service);
-        let ms = engine::median_pace(like.map(|upstream| upstream.pace));
-        self.services.entry(service.clone()).or_default().usual = Some((ms, now));
+        let same_service = self.upstreams.values().filter(|other| other.info.service == *service);
+        let ms = engine::median_pace(same_service.map(|upstream| upstream.pace));
+        self.services.entry(service.clone()).or_default().cached_pace = Some((ms, now));
         ms
     }
 
-    /// Notes that a request is waiting unusually long for its first answer, or that it waits no more.
-    pub fn set_overdue(&mut self, name: &str, waits: bool) {
+    /// Records that a request has been waiting unusually long for its first answer, or that it no longer
+    /// waits.
+    pub fn set_overdue(&mut self, name: &str, is_waiting: bool) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.overdue = if waits { upstream.overdue + 1 } else { upstream.overdue.saturating_sub(1) };
+            upstream.overdue =
+                if is_waiting { upstream.overdue + 1 } else { upstream.overdue.saturating_sub(1) };
         }
     }
 
-    /// Notes an answer, with the time that it took if it was a plain service's, in milliseconds.
+    /// Records an answer and, for a plain service, the time that the call took, in milliseconds.
     pub fn record_success(&mut self, name: &str, call_ms: Option<f64>) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.health.record_success();
-            upstream.failures -= FAILURE_SAMPLE * upstream.failures;
+            upstream.failures -= FAILURE_WEIGHT * upstream.failures;
             if let Some(ms) = call_ms {
-                let sample = if upstream.call_ms == 0.0 { 1.0 } else { PACE_SAMPLE };
-                upstream.call_ms += sample * (ms - upstream.call_ms);
+                let weight = if upstream.call_ms == 0.0 { 1.0 } else { CALL_TIME_WEIGHT };
+                upstream.call_ms += weight * (ms - upstream.call_ms);
             }
         }
     }
 
-    /// Notes that the upstream answered with a failure of its own: it is reachable, but does its work badly.
+    /// Records that the upstream answered with an error of its own: it is reachable, but works badly.
     pub fn record_error(&mut self, name: &str) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.failures += FAILURE_SAMPLE * (1.0 - upstream.failures);
+            upstream.failures += FAILURE_WEIGHT * (1.0 - upstream.failures);
         }
     }
 
-    /// Notes that the upstream could not be reached or broke off; `true` if it is ejected for it.
+    /// Records that the upstream could not be reached or broke off a request. Returns whether it is ejected.
     pub fn record_failure(&mut self, name: &str, now: Millis) -> bool {
         let Some(upstream) = self.upstreams.get_mut(name) else { return false };
-        upstream.failures += FAILURE_SAMPLE * (1.0 - upstream.failures);
+        upstream.failures += FAILURE_WEIGHT * (1.0 - upstream.failures);
         if !upstream.health.record_failure(now) {
             return false;
         }
         let until = upstream.health.eject(now, false);
-        // It may have started again, which the list tells later than the first gateways try it.
-        if let Some(warmup) = self.warmups.get(&upstream.site.service) {
+        // The upstream may have restarted, which the list reports only after the first gateways have tried it
+        // again.
+        if let Some(warmup) = self.warmups.get(&upstream.info.service) {
             upstream.warming.suspect(until.saturating_sub(now) + warmup.lasts_ms, now);
         }
         upstream.parts.clear();
-        upstream.order.clear();
+        upstream.part_order.clear();
         true
     }
 
-    /// What was learned of each service's engines, with their usual pace in milliseconds.
+    /// The learned model of each service's engines, with their usual pace in milliseconds.
     pub fn models(&self) -> impl Iterator<Item = (&str, &Model, f64)> {
         self.services.iter().filter(|(_, service)| service.load.is_known()).map(|(name, service)| {
-            let like = self.upstreams.values().filter(|upstream| upstream.site.service == *name);
-            (name.as_str(), &service.model, engine::median_pace(like.map(|upstream| upstream.pace)))
+            let same_service = self.upstreams.values().filter(|upstream| upstream.info.service == *name);
+            (name.as_str(), &service.model, engine::median_pace(same_service.map(|upstream| upstream.pace)))
         })
     }
 
-    /// The share of a service's short streams that are late beside long reads on an engine of the usual speed, if it is
-    /// known.
+    /// The share of a service's short streams that are late because of long prompts read on the same engine,
+    /// at the usual speed, if it is known.
     pub fn late_share(&self, service: &str, now: Millis) -> Option<f64> {
         let service = self.services.get(service)?;
         service.harm.share(1.0, service.load.gap_ms, now)
     }
 
-    /// How many times slower than usual each engine is.
+    /// The factor by which each engine of a service is slower than usual.
     pub fn slowness(&self, service: &str) -> Vec<(&str, f64)> {
-        let like = || self.upstreams.iter().filter(|(_, upstream)| upstream.site.service == service);
-        let usual = engine::median_pace(like().map(|(_, upstream)| upstream.pace));
-        like().map(|(name, upstream)| (name.as_str(), upstream.pace.slowness(usual))).collect()
+        let same_service = || self.upstreams.iter().filter(|(_, upstream)| upstream.info.service == service);
+        let median_pace = engine::median_pace(same_service().map(|(_, upstream)| upstream.pace));
+        same_service().map(|(name, upstream)| (name.as_str(), upstream.pace.slowness(median_pace))).collect()
     }
 
-    /// Whether an upstream gets work.
+    /// The health status of an upstream.
     pub fn health_status(&self, name: &str, now: Millis) -> Option<HealthStatus> {
         self.upstreams.get(name).map(|upstream| upstream.health.status(now))
     }
 
     /// The service of an upstream.
     pub fn service(&self, name: &str) -> Option<&str> {
-        self.upstreams.get(name).map(|upstream| upstream.site.service.as_str())
+        self.upstreams.get(name).map(|upstream| upstream.info.service.as_str())
     }
 
-    /// Open requests by upstream.
+    /// The number of open requests on each upstream.
     pub fn open_requests(&self) -> impl Iterator<Item = (&str, u32)> {
         self.upstreams.iter().map(|(name, upstream)| (name.as_str(), upstream.open))
     }
--- a/crates/route/src/repeat_window.rs
+++ b/crates/route/src/repeat_window.rs
@@ -2,7 +2,8 @@
 //! routers that share no count and may restart at any moment.
 //!
 //! ```
-//! let mut window = route::RepeatWindow::new(route::RepeatBound { ratio: 0.5, extra: 4.0, length: 10_000 }, 0);
+//! let bound = route::RepeatBound { ratio: 0.5, extra: 4.0, length: 10_000 };
+//! let mut window = route::RepeatWindow::new(bound, 0);
 //! window.set_routers(Some(2));
 //! assert!(window.try_repeat(0, 0.5), "a router that has just started may repeat once");
 //! assert!(!window.try_repeat(0, 0.5));
