--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -192,14 +192,14 @@
 
 impl<'a, W: Wire, S: Rows> Overdue<'a, W, S> {
     pub(crate) fn new(node: &'a Node<W, S>, upstream: &'a str) -> Overdue<'a, W, S> {
-        node.places().set_overdue(upstream, true);
+        node.places().record_overdue(upstream, true);
         Overdue { node, upstream }
     }
 }
 
 impl<W: Wire, S: Rows> Drop for Overdue<'_, W, S> {
     fn drop(&mut self) {
-        self.node.places().set_overdue(self.upstream, false);
+        self.node.places().record_overdue(self.upstream, false);
     }
 }
 
--- a/crates/route/src/placement.rs
+++ b/crates/route/src/placement.rs
@@ -612,9 +612,9 @@
         ms
     }
 
-    /// Records that a request has been waiting unusually long for its first answer, or that it no longer
+    /// Records that a request waits unusually long for its first answer, or that such a request no longer
     /// waits.
-    pub fn set_overdue(&mut self, name: &str, is_waiting: bool) {
+    pub fn record_overdue(&mut self, name: &str, is_waiting: bool) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.overdue =
                 if is_waiting { upstream.overdue + 1 } else { upstream.overdue.saturating_sub(1) };
--- a/crates/route/src/placement/estimate.rs
+++ b/crates/route/src/placement/estimate.rs
@@ -120,11 +120,11 @@
 
 /// The estimate for an upstream of a plain service.
 pub(super) fn estimate_plain(upstream: &Upstream, median_ms: f64) -> Estimate {
-    let slow = match upstream.call_ms / median_ms.max(f64::MIN_POSITIVE) {
+    let slowness = match upstream.call_ms / median_ms.max(f64::MIN_POSITIVE) {
         ratio if median_ms > 0.0 && ratio > SLOW_FACTOR => ratio,
         _ => 1.0,
     };
-    let cost = CALL_COST * ((1.0 + f64::from(upstream.open)) * slow - 1.0);
+    let cost = CALL_COST * ((1.0 + f64::from(upstream.open)) * slowness - 1.0);
     Estimate { cost, first_ms: cost, ..Estimate::default() }
 }
 
--- a/crates/route/tests/places.rs
+++ b/crates/route/tests/places.rs
@@ -162,7 +162,7 @@
     }
     let chosen = placer.choose(&CALL, 0).expect("an upstream");
     assert_eq!(chosen.upstream, "e-2");
-    placer.set_overdue("e-2", true);
+    placer.record_overdue("e-2", true);
     assert_eq!(placer.choose(&CALL, 0).map(|chosen| chosen.upstream), Some("e-1".to_owned()));
 }
 
