--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, HeaderName, Request, StatusCode, Uri};
 use http_body_util::BodyExt;
 use hyper::body::{Bytes, Incoming};
-use route::place::Chosen;
+use route::placement::Placement;
 use std::pin::pin;
 use std::time::Duration;
 use store::rows::Rows;
@@ -63,7 +63,7 @@
 impl<W: Wire, S: Rows> Job<W, S> {
     pub(crate) async fn attempt(
         &self,
-        chosen: &Chosen,
+        chosen: &Placement,
         splitter: &mut EventSplitter,
         after_event: Option<u64>,
         may_try_elsewhere: bool,
@@ -80,7 +80,7 @@
             chosen.first_ms,
             chosen.uncached,
             chosen.is_long,
-            chosen.is_kept,
+            chosen.is_reserved,
             chosen.open,
             chosen.candidates,
             after_event,
@@ -96,7 +96,7 @@
             return Outcome::NotSent("the upstream accepts no more requests now".to_owned());
         };
         if self.request.ask.prompt.is_some() && node.hints.tells(chosen.uncached, node.now()) {
-            let told = node.places().tell(chosen);
+            let told = node.places().take_hint(chosen);
             node.hints.tell(&chosen.upstream, told);
         }
         let max_connections = node.connections(connection_limit);
@@ -116,7 +116,7 @@
 
     async fn wait_for_first_answer(
         &self,
-        chosen: &Chosen,
+        chosen: &Placement,
         slot: UpstreamSlot<W, S>,
         splitter: &mut EventSplitter,
         may_try_elsewhere: bool,
@@ -133,7 +133,7 @@
         let (outcome, slot) = match result {
             Some(done) => done,
             None if may_try_elsewhere && self.kind().is_repeatable() && !self.remaining().is_zero() => {
-                self.node.places().err(&chosen.upstream);
+                self.node.places().record_error(&chosen.upstream);
                 return Outcome::NoValidAnswer(format!("no answer within {} ms", timeout.as_millis()));
             }
             None => {
@@ -153,7 +153,7 @@
         }
     }
 
-    fn first_answer_timeout(&self, chosen: &Chosen) -> Duration {
+    fn first_answer_timeout(&self, chosen: &Placement) -> Duration {
         let factor = match self.kind() {
             RouteKind::Idempotent => CALL_TIMEOUT_FACTOR,
             RouteKind::ResumableStream => STREAM_TIMEOUT_FACTOR,
@@ -213,7 +213,7 @@
     fn apply_upstream_state(&self, slot: &UpstreamSlot<W, S>, head: &response::Parts, check: ResponseCheck) {
         let node = &self.node;
         let upstream = slot.upstream.as_str();
-        if node.wire.is_leaving(head) && node.places().leave(upstream, node.now()) {
+        if node.wire.is_leaving(head) && node.places().mark_leaving(upstream, node.now()) {
             log::info!(
                 "upstream: event=leaves upstream={upstream} told-by=answer request={}",
                 self.request.ask.id
@@ -228,7 +228,7 @@
             node.places().warm_up(upstream, ms, node.now());
         }
         if let Some(asked_ms) = self.value_or_warn(upstream, node.wire.retry_after_ms(head)) {
-            let ms = node.places().rest(upstream, asked_ms, node.now());
+            let ms = node.places().back_off(upstream, asked_ms, node.now());
             log::info!(
                 "upstream: event=rests upstream={upstream} ms={ms} asked-ms={asked_ms} request={}",
                 self.request.ask.id
@@ -347,21 +347,21 @@
     }
 
     /// Updates what is known of the upstream with the outcome of an attempt.
-    fn record_upstream_outcome(&self, chosen: &Chosen, began: u64, outcome: &Outcome<W, S>) {
+    fn record_upstream_outcome(&self, chosen: &Placement, began: u64, outcome: &Outcome<W, S>) {
         let now = self.node.now();
         let mut places = self.node.places();
         let ejected = match outcome {
             Outcome::Complete(..) => {
                 let pace = (!self.kind().is_stream()).then_some((now - began) as f64);
-                places.succeed(&chosen.upstream, pace);
+                places.record_success(&chosen.upstream, pace);
                 false
             }
             Outcome::Stream(..) => {
-                places.succeed(&chosen.upstream, None);
+                places.record_success(&chosen.upstream, None);
                 false
             }
             Outcome::ServerError(..) => {
-                places.err(&chosen.upstream);
+                places.record_error(&chosen.upstream);
                 false
             }
             Outcome::NotSent(_) => false,
@@ -371,7 +371,7 @@
             Outcome::NotRun(_)
             | Outcome::ConnectionBroken(_)
             | Outcome::NoValidAnswer(_)
-            | Outcome::TimedOut => places.fail(&chosen.upstream, now),
+            | Outcome::TimedOut => places.record_failure(&chosen.upstream, now),
         };
         drop(places);
         if let Outcome::Complete(..) | Outcome::ServerError(..) = outcome {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use http_body::Body as _;
 use hyper::body::Bytes;
 use net::exec;
-use route::{Millis, Pause, Pauses};
+use route::{Millis, PauseKind, PauseTracker};
 use smol::Timer;
 use std::io;
 use std::pin::Pin;
@@ -40,7 +40,7 @@
     /// When the run that the stream now comes from sent its first answer.
     run_began: Millis,
     longest_gap: Millis,
-    pauses: Pauses,
+    pauses: PauseTracker,
 }
 
 enum State<W: Wire, S: Rows> {
@@ -80,7 +80,7 @@
             .with_label_values(&[&job.request.route.name])
             .observe(ms as f64 / 1_000.0);
         meter.record_events(splitter.count());
-        let pauses = Pauses::new(job.node.now_exact());
+        let pauses = PauseTracker::new(job.node.now_exact());
         Relay {
             job,
             state: State::Streaming(stream),
@@ -154,17 +154,17 @@
     fn observe(&mut self) {
         let State::Streaming(stream) = &self.state else { return };
         let upstream = &stream.slot.upstream;
-        match self.pauses.next(self.job.node.now_exact()) {
-            Pause::Quiet(ms) => self.job.node.places().quiet(upstream, ms),
-            Pause::Long(ms) => self.job.node.places().pause(upstream, ms, self.job.node.now()),
-            Pause::Usual => {}
+        match self.pauses.record(self.job.node.now_exact()) {
+            PauseKind::Baseline(ms) => self.job.node.places().record_baseline_pause(upstream, ms),
+            PauseKind::Long(ms) => self.job.node.places().record_pause(upstream, ms, self.job.node.now()),
+            PauseKind::Normal => {}
         }
     }
 
     fn complete(&mut self) -> Step {
         let partial = self.splitter.take_partial();
         if let State::Streaming(stream) = std::mem::replace(&mut self.state, State::Ended) {
-            self.job.node.places().succeed(&stream.slot.upstream, None);
+            self.job.node.places().record_success(&stream.slot.upstream, None);
             self.job.record_survival();
             stream.lease.keep();
         }
@@ -200,7 +200,7 @@
         // The broken run must end before another one begins.
         drop(stream);
         let now = self.job.node.now();
-        self.job.node.places().fail(&upstream, now);
+        self.job.node.places().record_failure(&upstream, now);
         if self.job.kind() != RouteKind::ResumableStream {
             return Step::Fail(reason.to_owned());
         }
@@ -239,7 +239,7 @@
         };
         self.last_received = self.job.node.now();
         self.run_began = self.last_received;
-        self.pauses = Pauses::new(self.job.node.now_exact());
+        self.pauses = PauseTracker::new(self.job.node.now_exact());
         self.splitter = resumed.splitter;
         self.meter.record_events(self.splitter.count());
         self.state = State::Streaming(resumed.stream);
--- a/crates/route/examples/told.rs
+++ b/crates/route/examples/told.rs
@@ -6,7 +6,7 @@
 //! of dispatches.
 
 use emulator::{Outcome, Scene, plains, play};
-use route::Teller;
+use route::HintFilter;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
@@ -16,7 +16,7 @@
         return eprintln!("usage: told ROUTERS PER_S...");
     };
     for rate in rates {
-        let teller = Teller::with_rates(*rate, *rate);
+        let teller = HintFilter::with_rates(*rate, *rate);
         let scene = |seed| Scene { teller, ..plains(seed, *routers as usize) };
         let outcomes: Vec<Outcome> = SEEDS.map(|seed| play(&scene(seed))).collect();
         let mean = |figure: &dyn Fn(&Outcome) -> f64| {
