--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,6 +1,6 @@
 //! One gateway: what it knows, and what runs on it.
 
-use crate::counted::Counted;
+use crate::store_metrics::Counted;
 use crate::failover::Failover;
 use crate::hints::Hints;
 use crate::load::Load;
