--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -95,11 +95,11 @@
         let Some(slot) = UpstreamSlot::take(self, chosen) else {
             return Outcome::NotSent("the upstream accepts no more requests now".to_owned());
         };
-        if self.request.ask.prompt.is_some() && node.hints.tells(chosen.uncached, node.now()) {
+        if self.request.ask.prompt.is_some() && node.hints.should_announce(chosen.uncached, node.now()) {
             let told = node.places().tell(chosen);
-            node.hints.tell(&chosen.upstream, told);
+            node.hints.announce_dispatch(&chosen.upstream, told);
         }
-        let max_connections = node.connections(connection_limit);
+        let max_connections = node.max_connections(connection_limit);
         node.load.record_sent(self.request.body.len());
         // While the request waits for a connection, the upstream may announce that it leaves or ask for a
         // back-off.
@@ -222,7 +222,7 @@
             // Other gateways may have more connections to it, and would lose their requests when it
             // terminates.
             let started = node.listings().get(upstream).and_then(|listing| listing.started);
-            node.hints.tell_leaving(upstream, started);
+            node.hints.announce_leaving(upstream, started);
         }
         if let Some(ms) = self.value_or_warn(upstream, node.wire.warmup_ms(head)) {
             node.places().warm_up(upstream, ms, node.now());
--- a/crates/gateway/src/denials.rs
+++ b/crates/gateway/src/denials.rs
@@ -48,9 +48,9 @@
     now_ms: u64,
 }
 
-/// Which denials an operator lifts.
+/// Selector denials an operator lifts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Which {
+pub enum Selector {
     /// All of them.
     All,
     /// That of one request.
@@ -70,9 +70,10 @@
 ///
 /// # Errors
 /// Fails if the store can't be read or written.
-pub async fn lift(rows: &impl Rows, which: Which) -> Result<Vec<Denial>, store::Error> {
+pub async fn lift(rows: &impl Rows, which: Selector) -> Result<Vec<Denial>, store::Error> {
     let table = read(rows).await?;
-    let is_named = |denial: &Denial| matches!(which, Which::All) || which == Which::One(denial.fingerprint);
+    let is_named =
+        |denial: &Denial| matches!(which, Selector::All) || which == Selector::One(denial.fingerprint);
     let is_meant = |denial: &Denial| !denial.is_lifted && is_named(denial);
     let (now_ms, over) = (table.now_ms, table.over);
     let lifted: Vec<Denial> = table.denials.into_iter().filter(is_meant).collect();
@@ -94,7 +95,7 @@
 }
 
 /// Writes a denied request's row, and takes away those whose time is over.
-pub(crate) async fn keep(
+pub(crate) async fn insert(
     rows: &impl Rows,
     fingerprint: Fingerprint,
     upstreams: &Upstreams,
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -103,7 +103,7 @@
         Lookup::Allowed(route, team) => (route, team),
         // These denials are final for the caller, so they must be based on the newest manifest. Reading a
         // manifest of 750 KB over a saturated link takes seconds.
-        Lookup::NoRoute | Lookup::NoKey if node.is_changing() => {
+        Lookup::NoRoute | Lookup::NoKey if node.is_receiving_manifest() => {
             return Err(refused(Refusal::ManifestChanging, &version));
         }
         Lookup::NoRoute => return Err(refused(Refusal::NoRoute, &version)),
@@ -124,7 +124,7 @@
         let detail = format!("team={team} route={} {version} fingerprint={fingerprint}", route.name);
         return Err(refused(refusal, &detail));
     }
-    node.window(&service, |window, now| window.request(now));
+    node.with_retry_window(&service, |window, now| window.request(now));
     let reservation = match reserve(node, &manifest, &route, &service, team.as_deref(), &ask).await {
         Ok(reservation) => reservation,
         Err((denied, ready_ms, detail)) => {
@@ -155,8 +155,8 @@
     let max_wait = Duration::from_millis((route.target_ms as f64 * BUDGET_WAIT_SHARE) as u64);
     let lifetime = Duration::from_millis(ask.wait_ms.unwrap_or(u64::MAX).min(route.timeout_ms));
     let stride = manifest.services.get(service).map_or(1, |service| service.stride);
-    let purse = || node.purse(manifest, team);
-    peer_reservations::reserve(node, purse, &team.name, level, prompt.max_tokens(stride), max_wait, lifetime)
+    let budget = || node.budget(manifest, team);
+    peer_reservations::reserve(node, budget, &team.name, level, prompt.max_tokens(stride), max_wait, lifetime)
         .await
 }
 
@@ -276,8 +276,9 @@
     pub(crate) fn take_repeat(&self, reason: &str) -> bool {
         let service = &self.request.service;
         let chance = xxh3_64(self.request.ask.id.as_bytes()) as f64 / u64::MAX as f64;
-        let (is_allowed, count) =
-            self.node.window(service, |window, now| (window.repeat(now, chance), window.count(now)));
+        let (is_allowed, count) = self
+            .node
+            .with_retry_window(service, |window, now| (window.repeat(now, chance), window.count(now)));
         let event = match is_allowed {
             true => "repeat",
             false => "repeat-denied",
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -25,7 +25,7 @@
 /// Datagrams that are sent in a row before other work goes on: about a fifth of a millisecond.
 const IN_A_ROW: usize = 16;
 /// The pauses before each datagram that is sent more than once.
-pub(crate) const PAUSES: [Duration; 3] =
+pub(crate) const SEND_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(50), Duration::from_millis(700)];
 
 /// What one gateway tells the others.
@@ -110,36 +110,36 @@
     }
 
     /// Whether the others are told of a dispatch whose engine has to read so many tokens.
-    pub(crate) fn tells(&self, unread: u32, now: Millis) -> bool {
+    pub(crate) fn should_announce(&self, unread: u32, now: Millis) -> bool {
         let gateways = self.peers.lock().expect("the peers' lock").len() as u64 + 1;
         self.teller.lock().expect("the teller's lock").tells(unread, gateways, now)
     }
 
     /// Tells the others of the dispatch of a prompt.
-    pub(crate) fn tell(&self, upstream: &str, told: Told) {
+    pub(crate) fn announce_dispatch(&self, upstream: &str, told: Told) {
         self.send(Hint::Dispatch { upstream: upstream.to_owned(), told });
     }
 
     /// Tells the others which engines of a service are kept for short work. They learn it from a heartbeat too, but that
     /// takes the store.
-    pub(crate) fn divide(&self, service: &str, short: &[String]) {
+    pub(crate) fn announce_division(&self, service: &str, short: &[String]) {
         self.send(Hint::Division { service: service.to_owned(), short: short.to_vec() });
     }
 
     /// Tells of a request that ends upstreams.
-    pub(crate) fn warn(self: &Arc<Hints>, word: Word, now: Millis) {
+    pub(crate) fn announce_quarantine(self: &Arc<Hints>, word: Word, now: Millis) {
         let gateways = self.peers.lock().expect("the peers' lock").len() + 1;
         let audience = self.bound.lock().expect("the bound's lock").audience(&word, gateways, now);
         self.repeat(Hint::Quarantine(word), audience);
     }
 
     /// Tells all that an upstream leaves.
-    pub(crate) fn tell_leaving(self: &Arc<Hints>, upstream: &str, started: Option<u64>) {
+    pub(crate) fn announce_leaving(self: &Arc<Hints>, upstream: &str, started: Option<u64>) {
         self.repeat(Hint::Leaving { upstream: upstream.to_owned(), started }, Audience::All);
     }
 
     /// Tells all gateways once of an upstream's request limit, or of its end.
-    pub(crate) fn tell_limit(&self, upstream: &str, started: Option<u64>, per_s: Option<f64>) {
+    pub(crate) fn announce_limit(&self, upstream: &str, started: Option<u64>, per_s: Option<f64>) {
         self.send(Hint::Limit { upstream: upstream.to_owned(), started, per_s });
     }
 
@@ -147,7 +147,7 @@
     fn repeat(self: &Arc<Hints>, hint: Hint, audience: Audience) {
         let hints = self.clone();
         net::exec::spawn(async move {
-            for pause in PAUSES {
+            for pause in SEND_DELAYS {
                 net::exec::sleep(pause).await;
                 hints.send_to(hint.clone(), hints.audience(audience));
             }
@@ -253,7 +253,7 @@
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => match node.hints.accept(&buffer[..length], from) {
                 Ok(Hint::Dispatch { upstream, told }) => node.places().hear(&upstream, &told, node.now()),
-                Ok(Hint::Division { service, short }) => node.follow_division(&service, &short),
+                Ok(Hint::Division { service, short }) => node.apply_division(&service, &short),
                 Ok(Hint::Quarantine(word)) => crate::quarantine::hear(&node, &word),
                 Ok(Hint::Leaving { upstream, started }) => hear_leaving(&node, &upstream, started),
                 Ok(Hint::Limit { upstream, started, per_s }) => {
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -141,14 +141,14 @@
 
 impl<W: Wire, S: Rows> OpenGuard<W, S> {
     fn new(node: &Arc<Node<W, S>>) -> OpenGuard<W, S> {
-        node.open.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        node.open_requests.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         OpenGuard(node.clone())
     }
 }
 
 impl<W: Wire, S: Rows> Drop for OpenGuard<W, S> {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
     }
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -91,9 +91,9 @@
     let listen = settings.listen.clone();
     let (note, noted) = async_channel::bounded(1);
     let node = Arc::new(Node::new(settings, incarnation, wire, rows, note));
-    exec::spawn(watch::manifest(node.clone())).detach();
-    exec::spawn(watch::upstreams(node.clone())).detach();
-    exec::spawn(watch::recalls(node.clone())).detach();
+    exec::spawn(watch::follow_manifest(node.clone())).detach();
+    exec::spawn(watch::follow_upstreams(node.clone())).detach();
+    exec::spawn(watch::follow_recalls(node.clone())).detach();
     exec::spawn(hints::run(node.clone())).detach();
     exec::spawn(members::run(node.clone())).detach();
     exec::spawn(quarantine::run(node.clone())).detach();
@@ -174,14 +174,14 @@
     for round in 1u64.. {
         exec::sleep(SWEEP).await;
         node.pool.sweep();
-        node.delegate.expire();
+        node.peer_reservations.expire();
         if round.is_multiple_of(CALLS_LINE) {
             log::info!("store: event=calls {}", node.metrics.store_calls_line());
             log::info!("store: event=bytes {}", node.metrics.store_bytes_line());
             log_models(&node);
         }
-        for (team, purse) in node.purses().iter() {
-            let figures = purse.token_counts();
+        for (team, budget) in node.budgets().iter() {
+            let figures = budget.token_counts();
             let states = [
                 ("available", figures.available),
                 ("in-use", figures.in_use),
@@ -229,11 +229,11 @@
     /// answer finished as far as the grace allows, unused tokens given back.
     pub async fn stop(self) {
         let node = &self.node;
-        log::info!("gateway: event=stopping open={}", node.open.load(Ordering::Relaxed));
+        log::info!("gateway: event=stopping open={}", node.open_requests.load(Ordering::Relaxed));
         let began = std::time::Instant::now();
         node.set_phase(Phase::Leaving);
         // Tokens go back while the open requests end, so that little is left to settle afterwards.
-        node.purses().values().for_each(|purse| purse.retire());
+        node.budgets().values().for_each(|budget| budget.retire());
         exec::sleep(LEAVE.min(node.settings.grace_period() / 2)).await;
         node.set_phase(Phase::Draining);
         self.callers.stop();
@@ -241,13 +241,13 @@
         while self.callers.open() > 0 && began.elapsed() < last {
             exec::sleep(LOOK).await;
         }
-        log::info!("gateway: event=drained open={}", node.open.load(Ordering::Relaxed));
-        let purses: Vec<_> = node.purses().values().cloned().collect();
+        log::info!("gateway: event=drained open={}", node.open_requests.load(Ordering::Relaxed));
+        let budgets: Vec<_> = node.budgets().values().cloned().collect();
         let rest = || (node.settings.grace_period() - LAST_CALLS).saturating_sub(began.elapsed());
         let limit = rest();
-        let closing = purses.iter().map(|purse| purse.close(limit));
+        let closing = budgets.iter().map(|budget| budget.close(limit));
         futures::future::join_all(closing).await;
-        if exec::timeout(rest(), members::leave(node)).await.is_none() {
+        if exec::timeout(rest(), members::deregister(node)).await.is_none() {
             log::warn!("fleet: event=good-bye-failed reason=\"no time was left\"");
         }
         self.readiness.stop();
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,6 +1,6 @@
 //! Request limits that upstreams name in their answers, and the exchange of these limits between gateways.
 
-use crate::hints::PAUSES;
+use crate::hints::SEND_DELAYS;
 use crate::node::Node;
 use crate::ports::Wire;
 use net::exec;
@@ -27,18 +27,18 @@
     let update = node.places().update_limit(upstream, per_s, dispatched, node.now());
     match update {
         LimitUpdate::Unchanged => {}
-        LimitUpdate::Renewed => tell(node, upstream, &PAUSES[..1]),
+        LimitUpdate::Renewed => tell(node, upstream, &SEND_DELAYS[..1]),
         LimitUpdate::Named => {
             let per_s = per_s.unwrap_or_default();
             log::info!(
                 "upstream: event=limit-named upstream={upstream} per-s={per_s} told-by=answer request={request}"
             );
             node.metrics.limits_named.inc();
-            tell(node, upstream, &PAUSES);
+            tell(node, upstream, &SEND_DELAYS);
         }
         LimitUpdate::Lifted => {
             log::info!("upstream: event=limit-lifted upstream={upstream} told-by=answer request={request}");
-            tell(node, upstream, &PAUSES);
+            tell(node, upstream, &SEND_DELAYS);
         }
     }
 }
@@ -52,7 +52,7 @@
             exec::sleep(*pause).await;
             let started = node.listings().get(&upstream).and_then(|listing| listing.started);
             let per_s = node.places().limit_per_s(&upstream);
-            node.hints.tell_limit(&upstream, started, per_s);
+            node.hints.announce_limit(&upstream, started, per_s);
         }
     })
     .detach();
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -116,8 +116,8 @@
 
 /// How many gateways there are; `None` if the list was not read for so long that the others may have forgotten this one
 /// and share among themselves what it takes for its own part.
-pub(crate) fn known<W: Wire, S: Rows>(node: &Node<W, S>) -> Option<u32> {
-    let read = node.fleet_read.load(Ordering::Relaxed);
+pub(crate) fn known_fleet_size<W: Wire, S: Rows>(node: &Node<W, S>) -> Option<u32> {
+    let read = node.fleet_read_ms.load(Ordering::Relaxed);
     let is_known = read > 0 && node.now().saturating_sub(read) < period(node) * MISSED;
     is_known.then_some(node.fleet_size() as u32)
 }
@@ -126,7 +126,7 @@
 async fn beat<W: Wire, S: Rows>(node: &Node<W, S>, members: &Members) {
     let kept_for_short = if members.is_first { divide(node) } else { BTreeMap::new() };
     for (service, short) in &kept_for_short {
-        node.hints.divide(service, short);
+        node.hints.announce_division(service, short);
     }
     let quarantine = node.quarantine_version.load(Ordering::Relaxed);
     let (holder, peers, cores) = (node.holder.clone(), node.settings.listen.peers, node.settings.cores());
@@ -161,7 +161,7 @@
 }
 
 /// Says good-bye, so that nobody waits for this gateway's heartbeats.
-pub(crate) async fn leave<W: Wire, S: Rows>(node: &Node<W, S>) {
+pub(crate) async fn deregister<W: Wire, S: Rows>(node: &Node<W, S>) {
     node.places().roster.leave();
     let change = Change { drops: vec![Key::new(TABLE, &node.settings.name)], ..Change::default() };
     if let Err(error) = node.rows.commit(&change).await {
@@ -177,7 +177,7 @@
     gone_after: u64,
 ) -> Vec<String> {
     let now = node.now();
-    node.fleet_read.store(now.max(1), Ordering::Relaxed);
+    node.fleet_read_ms.store(now.max(1), Ordering::Relaxed);
     let seen = &mut members.seen;
     if members.read.replace(now).is_some_and(|read| now.saturating_sub(read) > gone_after / 2) {
         // This gateway was cut off or stood still: what it missed then says nothing of the others.
@@ -194,7 +194,7 @@
     let own = &node.settings.name;
     let is_alive = |seen: &Seen| now.saturating_sub(seen.at) < gone_after;
     let others = seen.iter().filter(|(name, seen)| *name != own && is_alive(seen)).count() as u64;
-    if node.fleet.swap(others + 1, Ordering::Relaxed) != others + 1 {
+    if node.fleet_size.swap(others + 1, Ordering::Relaxed) != others + 1 {
         log::info!("fleet: event=size gateways={}", others + 1);
     }
     node.metrics.fleet_gateways.set(others as i64 + 1);
@@ -214,7 +214,7 @@
     let beat = first.and_then(|first| page.records.iter().find(|record| record.name == *first));
     // One that becomes the first goes on from what the one before decided, be it its own earlier process.
     if let Some(beat) = beat.filter(|_| !(was_first && members.is_first)).and_then(decode::<Beat>) {
-        beat.kept_for_short.iter().for_each(|(service, short)| node.follow_division(service, short));
+        beat.kept_for_short.iter().for_each(|(service, short)| node.apply_division(service, short));
     }
     if !members.is_first {
         return vec![];
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,6 +1,5 @@
 //! One gateway: what it knows, and what runs on it.
 
-use crate::store_metrics::Counted;
 use crate::failover::Failover;
 use crate::hints::Hints;
 use crate::load::Load;
@@ -10,6 +9,7 @@
 use crate::peer_reservations::PeerReservations;
 use crate::ports::{Listing, Wire};
 use crate::settings::Settings;
+use crate::store_metrics::MeteredRows;
 use crate::team_budget::{BudgetOptions, TeamBudget};
 use budget::ledger::Level;
 use event_listener::Event;
@@ -48,36 +48,36 @@
     /// The VM's name with the incarnation of this process.
     pub holder: String,
     pub wire: W,
-    pub rows: Counted<Failover<S>>,
+    pub rows: MeteredRows<Failover<S>>,
     /// The same without the counts.
     pub failover: Failover<S>,
     pub pool: Pool,
     pub metrics: Metrics,
-    pub fleet: Arc<AtomicU64>,
+    pub fleet_size: Arc<AtomicU64>,
     /// When the list of gateways was read last, in milliseconds since the process started; 0 if it was not yet.
-    pub fleet_read: AtomicU64,
+    pub fleet_read_ms: AtomicU64,
     /// Whether this gateway is the first by name of those alive: it does what only one should.
     pub is_first: AtomicBool,
-    pub open: AtomicU64,
+    pub open_requests: AtomicU64,
     pub load: Load,
     pub hints: Arc<Hints>,
     pub owners: Owners,
-    pub delegate: Arc<PeerReservations>,
+    pub peer_reservations: Arc<PeerReservations>,
     /// Notified when a budget is opened.
-    pub opened: Event,
+    pub budget_opened: Event,
     /// The newest version of the table of denied requests that was read; 0 if none is there.
     pub quarantine_version: AtomicU64,
     /// Notified when another gateway has read a newer one.
-    pub quarantine_grew: Event,
+    pub quarantine_changed: Event,
     pub clock: Clock,
     manifest: RwLock<Option<Arc<Manifest>>>,
     /// How far the read of the next manifest has come.
-    manifest_read: Mutex<Progress>,
+    manifest_progress: Mutex<Progress>,
     places: Mutex<Places>,
     quarantine: Mutex<Quarantine>,
     listings: Mutex<HashMap<String, Listing>>,
     windows: Mutex<HashMap<String, Window>>,
-    purses: Mutex<HashMap<String, Arc<TeamBudget>>>,
+    budgets: Mutex<HashMap<String, Arc<TeamBudget>>>,
     phase: AtomicU8,
     note: async_channel::Sender<()>,
     /// What the store's clock said, in milliseconds, and when that was heard.
@@ -98,30 +98,30 @@
         let holder = format!("{}#{incarnation}", settings.name);
         Node {
             owners: Owners::new(&settings.name, settings.cores()),
-            delegate: Arc::new(PeerReservations::new(&holder)),
+            peer_reservations: Arc::new(PeerReservations::new(&holder)),
             holder,
             places: Mutex::new(Places::new(&settings.data_centre)),
             wire,
-            rows: Counted::new(failover.clone(), &metrics),
+            rows: MeteredRows::new(failover.clone(), &metrics),
             failover,
             pool: Pool::new(clock.clone()),
             clock,
             metrics,
-            fleet: Arc::new(AtomicU64::new(ASSUMED_FLEET)),
-            fleet_read: AtomicU64::new(0),
+            fleet_size: Arc::new(AtomicU64::new(ASSUMED_FLEET)),
+            fleet_read_ms: AtomicU64::new(0),
             is_first: AtomicBool::new(false),
-            open: AtomicU64::new(0),
+            open_requests: AtomicU64::new(0),
             load: Load::new(settings.link_mbps),
             hints: Arc::default(),
-            opened: Event::new(),
+            budget_opened: Event::new(),
             quarantine_version: AtomicU64::new(0),
-            quarantine_grew: Event::new(),
+            quarantine_changed: Event::new(),
             quarantine: Mutex::default(),
             manifest: RwLock::default(),
-            manifest_read: Mutex::default(),
+            manifest_progress: Mutex::default(),
             listings: Mutex::default(),
             windows: Mutex::default(),
-            purses: Mutex::default(),
+            budgets: Mutex::default(),
             phase: AtomicU8::new(Phase::Serving as u8),
             note,
             store_clock: Mutex::default(),
@@ -155,17 +155,17 @@
     }
 
     /// Takes in that the next manifest is being read.
-    pub(crate) fn set_manifest_read(&self, progress: &Progress) {
-        *self.manifest_read.lock().expect("the read's lock") = progress.clone();
+    pub(crate) fn set_manifest_progress(&self, progress: &Progress) {
+        *self.manifest_progress.lock().expect("the read's lock") = progress.clone();
     }
 
     /// Whether a newer manifest is on its way.
-    pub(crate) fn is_changing(&self) -> bool {
-        crate::watch::is_changing(&self.manifest_read.lock().expect("the read's lock"))
+    pub(crate) fn is_receiving_manifest(&self) -> bool {
+        crate::watch::is_receiving_manifest(&self.manifest_progress.lock().expect("the read's lock"))
     }
 
     /// Puts a manifest in force, unless that or a later one is: `true` if it is now.
-    pub(crate) fn put_in_force(&self, next: Manifest) -> bool {
+    pub(crate) fn apply_manifest(&self, next: Manifest) -> bool {
         let next = Arc::new(next);
         {
             let mut current = self.manifest.write().expect("the manifest's lock");
@@ -180,9 +180,9 @@
         self.places().set_warmups(warmups.collect());
         let teams = next.teams.values();
         self.owners.set_levels(teams.filter_map(|team| Some((team.name.as_str(), team.reserved?))));
-        for (team, purse) in self.purses().iter() {
+        for (team, budget) in self.budgets().iter() {
             if let Some(tokens) = next.teams.get(team).and_then(|team| team.reserved) {
-                purse.set_level(Level { version: next.version, tokens });
+                budget.set_level(Level { version: next.version, tokens });
             }
         }
         true
@@ -197,7 +197,7 @@
     }
 
     /// Follows the gateway that decides which engines of a service are kept for short work.
-    pub(crate) fn follow_division(&self, service: &str, short: &[String]) {
+    pub(crate) fn apply_division(&self, service: &str, short: &[String]) {
         if self.places().follow(service, short) {
             log::info!("upstream: event=divided service={service} kept-for-short={}", short.join(","));
         }
@@ -207,28 +207,28 @@
         self.listings.lock().expect("the listings' lock")
     }
 
-    pub(crate) fn purses(&self) -> MutexGuard<'_, HashMap<String, Arc<TeamBudget>>> {
-        self.purses.lock().expect("the purses' lock")
+    pub(crate) fn budgets(&self) -> MutexGuard<'_, HashMap<String, Arc<TeamBudget>>> {
+        self.budgets.lock().expect("the budgets' lock")
     }
 
     /// The budget of a team, if something bounds it.
-    pub(crate) fn purse(&self, manifest: &Manifest, team: &Team) -> Option<Arc<TeamBudget>> {
+    pub(crate) fn budget(&self, manifest: &Manifest, team: &Team) -> Option<Arc<TeamBudget>> {
         let level = Level { version: manifest.version, tokens: team.reserved? };
-        let mut purses = self.purses();
-        if let Some(purse) = purses.get(&team.name) {
-            return Some(purse.clone());
+        let mut budgets = self.budgets();
+        if let Some(budget) = budgets.get(&team.name) {
+            return Some(budget.clone());
         }
         let terms = BudgetOptions {
             holder: self.holder.clone(),
-            fleet_size: self.fleet.clone(),
+            fleet_size: self.fleet_size.clone(),
             owners: self.owners.owner_count(&team.name).unwrap_or(self.fleet_size()),
             note_requests: self.note.clone(),
             record_ms: self.settings.record_ms,
         };
-        let purse = TeamBudget::open(&self.rows, &team.name, level, terms);
-        purses.insert(team.name.clone(), purse.clone());
-        self.opened.notify(usize::MAX);
-        Some(purse)
+        let budget = TeamBudget::open(&self.rows, &team.name, level, terms);
+        budgets.insert(team.name.clone(), budget.clone());
+        self.budget_opened.notify(usize::MAX);
+        Some(budget)
     }
 
     /// Takes in the other gateways that are alive, with where they listen for this one.
@@ -237,14 +237,18 @@
         self.failover.set_peers(&addresses);
         self.hints.set_peers(addresses);
         self.owners.set_peers(peers);
-        for (team, purse) in self.purses().iter() {
+        for (team, budget) in self.budgets().iter() {
             let owners = self.owners.owner_count(team).unwrap_or(self.fleet_size());
-            purse.owners.store(owners, Ordering::Relaxed);
+            budget.owners.store(owners, Ordering::Relaxed);
         }
     }
 
     /// Uses the window of repeats of a service.
-    pub(crate) fn window<T>(&self, service: &str, act: impl FnOnce(&mut Window, Millis) -> T) -> T {
+    pub(crate) fn with_retry_window<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut Window, Millis) -> T,
+    ) -> T {
         let now = self.now();
         let bounds = &self.settings.bounds;
         let mut windows = self.windows.lock().expect("the windows' lock");
@@ -257,17 +261,17 @@
             windows.insert(service.to_owned(), Window::new(terms, 0));
         }
         let window = windows.get_mut(service).expect("the window was just added");
-        window.set_routers(crate::members::known(self));
+        window.set_routers(crate::members::known_fleet_size(self));
         act(window, now)
     }
 
     /// How many gateways share the upstreams and budgets, this one included.
     pub(crate) fn fleet_size(&self) -> u64 {
-        self.fleet.load(Ordering::Relaxed).max(1)
+        self.fleet_size.load(Ordering::Relaxed).max(1)
     }
 
     /// Connections that this gateway may have to one upstream that takes `all`.
-    pub(crate) fn connections(&self, all: usize) -> usize {
+    pub(crate) fn max_connections(&self, all: usize) -> usize {
         let share = all as f64 * CONNECTION_MARGIN / self.fleet_size() as f64;
         (share as usize).max(2)
     }
--- a/crates/gateway/src/notes.rs
+++ b/crates/gateway/src/notes.rs
@@ -102,7 +102,7 @@
     let mut latency = WriteLatency::default();
     loop {
         let _ = exec::timeout(Duration::from_millis(interval_ms(&node)), requests.recv()).await;
-        let open_budgets: Vec<Arc<TeamBudget>> = node.purses().values().cloned().collect();
+        let open_budgets: Vec<Arc<TeamBudget>> = node.budgets().values().cloned().collect();
         if open_budgets.is_empty() {
             continue;
         }
@@ -227,7 +227,7 @@
         let spent = close_accounts(&node.rows, &team.name, is_earlier, previous, writers).await?;
         self.closed.insert(team.name.clone());
         let Some(spent) = spent else { return Ok(RecoveryProgress::Closed) };
-        if let Some(budget) = node.purse(manifest, team) {
+        if let Some(budget) = node.budget(manifest, team) {
             budget.set_earlier_use(spent);
         }
         Ok(RecoveryProgress::Closed)
--- a/crates/gateway/src/peer_reservations.rs
+++ b/crates/gateway/src/peer_reservations.rs
@@ -256,7 +256,7 @@
     if let Owner::Peer(owner) = owner {
         let request = ReserveRequest {
             holder: node.holder.clone(),
-            number: node.delegate.next_number.fetch_add(1, Ordering::Relaxed),
+            number: node.peer_reservations.next_number.fetch_add(1, Ordering::Relaxed),
             team: team.to_owned(),
             level_version: level.version,
             level_tokens: level.tokens,
@@ -264,7 +264,7 @@
             patience_ms: timeout.mul_f64(OWNER_TIMEOUT_RATIO).as_millis() as u64,
             lasts_ms: max_duration.as_millis() as u64,
         };
-        match node.delegate.reserve_at(owner, &request).await {
+        match node.peer_reservations.reserve_at(owner, &request).await {
             ReserveOutcome::Held(reservation) => return Ok(Some(Reservation::Remote(reservation))),
             ReserveOutcome::Denied(denial) => return Err(denial),
             ReserveOutcome::Unavailable => node.owners.skip(owner),
@@ -290,7 +290,7 @@
         },
         _ => match bincode::deserialize::<UsageReport>(&bytes) {
             Ok(report) => {
-                node.delegate.apply_report(&report);
+                node.peer_reservations.apply_report(&report);
                 encode_response(&())
             }
             Err(_) => bad_request(),
@@ -305,7 +305,7 @@
     }
     let Some(manifest) = node.manifest() else { return ReserveResponse::Unfit };
     let team = manifest.teams.get(&request.team).cloned();
-    let Some(budget) = team.and_then(|team| node.purse(&manifest, &team)) else {
+    let Some(budget) = team.and_then(|team| node.budget(&manifest, &team)) else {
         return ReserveResponse::Unfit;
     };
     budget.set_level(Level { version: request.level_version, tokens: request.level_tokens });
@@ -313,7 +313,7 @@
         Ok(reservation) => {
             let until = Instant::now() + Duration::from_millis(request.lasts_ms) + REPORT_GRACE;
             let key = (request.holder, request.number);
-            node.delegate
+            node.peer_reservations
                 .held
                 .lock()
                 .expect("no thread panics while it holds the lock")
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -93,7 +93,7 @@
         let word = self.node.quarantine().outlived(fingerprint);
         if let Some(word) = word {
             log::info!("quarantine: event=cleared fingerprint={fingerprint} request={}", self.request.ask.id);
-            self.node.hints.warn(word, self.node.now());
+            self.node.hints.announce_quarantine(word, self.node.now());
         }
     }
 
@@ -184,7 +184,7 @@
             let (ended, names) = (ends.len(), names.join(","));
             log::warn!("quarantine: event=suspect fingerprint={fingerprint} ended={ended} upstreams={names}");
         }
-        node.hints.warn(word, node.now());
+        node.hints.announce_quarantine(word, node.now());
     }
     if reaction.is_due {
         exec::spawn(decide(node.clone())).detach();
@@ -235,11 +235,11 @@
 /// Tells all gateways that a request is denied, and writes the denial to the store.
 async fn announce<W: Wire, S: Rows>(node: Arc<Node<W, S>>, fingerprint: Fingerprint, upstreams: Upstreams) {
     let word = Word::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIED_MS };
-    node.hints.warn(word, node.now());
+    node.hints.announce_quarantine(word, node.now());
     while node.quarantine().denial(fingerprint).is_some() {
-        match denials::keep(&node.rows, fingerprint, &upstreams).await {
+        match denials::insert(&node.rows, fingerprint, &upstreams).await {
             Ok(()) => {
-                node.quarantine_grew.notify(usize::MAX);
+                node.quarantine_changed.notify(usize::MAX);
                 return;
             }
             Err(error) => log::warn!("quarantine: event=not-kept fingerprint={fingerprint} {error}"),
@@ -279,7 +279,7 @@
 /// table, and periodically while any request is denied, since operators may lift denials.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     loop {
-        let more = node.quarantine_grew.listen();
+        let more = node.quarantine_changed.listen();
         let pause = match read(&node).await {
             Ok(()) if node.quarantine().denied() == 0 => {
                 more.await;
@@ -320,6 +320,6 @@
 /// version triggers a single read: the row of that version may have been deleted since.
 pub(crate) fn observe_version<W: Wire, S: Rows>(node: &Node<W, S>, version: u64) {
     if version > node.quarantine_version.fetch_max(version, Ordering::Relaxed) {
-        node.quarantine_grew.notify(usize::MAX);
+        node.quarantine_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -141,7 +141,7 @@
 }
 
 /// Looks for a fresh snapshot.
-pub(crate) async fn start<W: Wire, S: Rows>(node: &Node<W, S>) -> Start {
+pub(crate) async fn load_or_claim<W: Wire, S: Rows>(node: &Node<W, S>) -> Start {
     let until = node.now() + CLAIM_MS;
     while node.now() < until {
         let Ok(page) = node.rows.list(TABLE, PART).await else { return Start::Read };
--- a/crates/gateway/src/store_metrics.rs
+++ b/crates/gateway/src/store_metrics.rs
@@ -8,16 +8,16 @@
 
 /// A store whose calls are counted.
 #[derive(Clone, Debug)]
-pub(crate) struct Counted<S> {
+pub(crate) struct MeteredRows<S> {
     rows: S,
     calls: IntCounterVec,
     bytes: IntCounterVec,
     seconds: Histogram,
 }
 
-impl<S: Rows> Counted<S> {
-    pub(crate) fn new(rows: S, metrics: &Metrics) -> Counted<S> {
-        Counted {
+impl<S: Rows> MeteredRows<S> {
+    pub(crate) fn new(rows: S, metrics: &Metrics) -> MeteredRows<S> {
+        MeteredRows {
             rows,
             calls: metrics.store_calls.clone(),
             bytes: metrics.store_bytes.clone(),
@@ -44,7 +44,7 @@
     page.records.iter().map(|row| row.name.len() + row.value.as_ref().map_or(0, Vec::len)).sum()
 }
 
-impl<S: Rows> Rows for Counted<S> {
+impl<S: Rows> Rows for MeteredRows<S> {
     async fn commit(&self, change: &Change) -> Result<Commit, Error> {
         let began = Instant::now();
         let result = self.rows.commit(change).await;
@@ -84,7 +84,7 @@
         result
     }
 
-    fn reporting(&self, progress: &Progress) -> Counted<S> {
-        Counted { rows: self.rows.reporting(progress), ..self.clone() }
+    fn reporting(&self, progress: &Progress) -> MeteredRows<S> {
+        MeteredRows { rows: self.rows.reporting(progress), ..self.clone() }
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -159,13 +159,13 @@
 }
 
 /// Follows the manifest, and which data centres the operators evacuate.
-pub(crate) async fn manifest<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
+pub(crate) async fn follow_manifest<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     let mut follower = Follower::new("manifest");
     let mut evacuations = Evacuations::default();
     loop {
         let (table, _) = node.wire.manifest_row();
         let progress = Progress::default();
-        node.set_manifest_read(&progress);
+        node.set_manifest_progress(&progress);
         let found = step(&node, &node.rows.reporting(&progress), table, &mut follower, WAIT_MS).await;
         match &found {
             Step::Whole(page) => evacuations.take_whole(&node, page),
@@ -180,16 +180,16 @@
 }
 
 /// Whether a newer manifest is on its way: what this gateway doesn't know, that one may allow.
-pub(crate) fn is_changing(read: &Progress) -> bool {
+pub(crate) fn is_receiving_manifest(read: &Progress) -> bool {
     read.bytes() >= CHANGE
 }
 
 /// Follows the other routers' calls for idle tokens.
-pub(crate) async fn recalls<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
+pub(crate) async fn follow_recalls<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     let mut follower = Follower::new("recalls");
     loop {
-        let opened = node.opened.listen();
-        if node.purses().is_empty() {
+        let opened = node.budget_opened.listen();
+        if node.budgets().is_empty() {
             // Who holds nothing has nothing to give back: in a large fleet that is nearly every gateway.
             follower.after = None;
             opened.await;
@@ -201,8 +201,8 @@
             let Some(recall) = decode::<Recall>(record).filter(|recall| recall.holder != node.holder) else {
                 continue;
             };
-            if let Some(purse) = node.purses().get(&record.name).cloned() {
-                purse.recall(recall.missing);
+            if let Some(budget) = node.budgets().get(&record.name).cloned() {
+                budget.recall(recall.missing);
             }
         }
     }
@@ -225,7 +225,7 @@
         }
     };
     let (version, routes, teams) = (manifest.version, manifest.routes.len(), manifest.teams.len());
-    if node.put_in_force(manifest) {
+    if node.apply_manifest(manifest) {
         log::info!(
             "manifest: event=in-force version={version} row-version={} hosts={routes} teams={teams} bytes={}",
             record.version,
@@ -307,11 +307,11 @@
 }
 
 /// Follows the list of upstreams.
-pub(crate) async fn upstreams<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
+pub(crate) async fn follow_upstreams<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     let mut follower = Follower::new("upstreams");
     let mut known = Known::default();
     let mut writer = Writer::default();
-    let start = snapshot::start(&node).await;
+    let start = snapshot::load_or_claim(&node).await;
     let mut is_awaited = matches!(start, Start::ReadAndWrite);
     if let Start::From(snapshot) = start {
         log::info!("upstream: event=started-from-snapshot version={}", snapshot.version);
--- a/crates/gateway/tests/unit/members.rs
+++ b/crates/gateway/tests/unit/members.rs
@@ -64,22 +64,22 @@
         let rows = TableRows::default();
         let (cut_off, other) = (node("vm-1", 1, &rows), node("vm-2", 1, &rows));
         for node in [&cut_off, &other] {
-            node.put_in_force(manifest(1, &[("desk", 100_000)]));
-            node.fleet.store(2, Ordering::Relaxed);
+            node.apply_manifest(manifest(1, &[("desk", 100_000)]));
+            node.fleet_size.store(2, Ordering::Relaxed);
         }
         let teams = cut_off.manifest().expect("a manifest");
-        let purse = cut_off.purse(&teams, &teams.teams["desk"]).expect("a budget");
-        purse.reserve(10_000, Duration::from_secs(2)).await.expect("tokens").charge("r-1", 10_000);
-        let held = purse.token_counts().available;
+        let budget = cut_off.budget(&teams, &teams.teams["desk"]).expect("a budget");
+        budget.reserve(10_000, Duration::from_secs(2)).await.expect("tokens").charge("r-1", 10_000);
+        let held = budget.token_counts().available;
         assert!(held > 10_000, "{held} tokens are at hand");
 
         forget(&other, "vm-1").await;
-        purse
+        budget
             .reserve(held, Duration::from_secs(2))
             .await
             .expect("they are at hand still")
             .charge("r-2", held);
-        purse.close(Duration::from_secs(2)).await;
+        budget.close(Duration::from_secs(2)).await;
         let bytes = rows.get(BUDGETS, "desk", POOL).expect("the pool row");
         let pool: budget::ledger::Pool = serde_json::from_slice(&bytes).expect("a pool");
         assert_eq!((pool.spent, pool.outstanding), (10_000 + held, 0));
@@ -92,8 +92,8 @@
     exec::block_on(async {
         let node = router();
         for fleet in [6, 87, 295, 1_400] {
-            node.fleet.store(fleet, Ordering::Relaxed);
-            let sum = node.connections(CONNECTION_LIMIT) * fleet as usize;
+            node.fleet_size.store(fleet, Ordering::Relaxed);
+            let sum = node.max_connections(CONNECTION_LIMIT) * fleet as usize;
             assert!(
                 sum <= CONNECTION_LIMIT,
                 "{fleet} gateways may open {sum} connections to an upstream that accepts {CONNECTION_LIMIT}"
--- a/crates/gateway/tests/unit/notes.rs
+++ b/crates/gateway/tests/unit/notes.rs
@@ -14,7 +14,7 @@
 
 fn budget(node: &Node<PlainTextWire, TableRows>, team: &str) -> Arc<TeamBudget> {
     let manifest = node.manifest().expect("a manifest is in force");
-    node.purse(&manifest, &manifest.teams[team]).expect("the team has a budget")
+    node.budget(&manifest, &manifest.teams[team]).expect("the team has a budget")
 }
 
 fn pool(rows: &TableRows, team: &str) -> Pool {
@@ -31,7 +31,7 @@
 
 fn start_gateway(name: &str, incarnation: u64, rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node(name, incarnation, rows);
-    assert!(node.put_in_force(manifest(1, &TEAMS)));
+    assert!(node.apply_manifest(manifest(1, &TEAMS)));
     node.set_store_clock(0);
     node
 }
@@ -43,8 +43,8 @@
 }
 
 async fn write_note(node: &Node<PlainTextWire, TableRows>, version: &mut Option<u64>) -> Result<(), Error> {
-    let purses: Vec<Arc<TeamBudget>> = node.purses().values().cloned().collect();
-    write(node, &purses, version, &mut WriteLatency::default()).await
+    let budgets: Vec<Arc<TeamBudget>> = node.budgets().values().cloned().collect();
+    write(node, &budgets, version, &mut WriteLatency::default()).await
 }
 
 #[test]
@@ -139,7 +139,7 @@
     net::exec::block_on(async {
         let rows = TableRows::default();
         let first = start_gateway("vm-1", 1, &rows);
-        first.fleet.store(1, std::sync::atomic::Ordering::Relaxed);
+        first.fleet_size.store(1, std::sync::atomic::Ordering::Relaxed);
         std::mem::forget(budget(&first, "branch").reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens"));
         exec::sleep(Duration::from_millis(200)).await;
         assert!(budget(&first, "branch").token_counts().available > 40_000, "it holds much of the budget");
@@ -158,7 +158,7 @@
     net::exec::block_on(async {
         let rows = TableRows::default();
         let gateway = start_gateway("vm-1", 1, &rows);
-        gateway.fleet.store(1, std::sync::atomic::Ordering::Relaxed);
+        gateway.fleet_size.store(1, std::sync::atomic::Ordering::Relaxed);
         let branch = budget(&gateway, "branch");
         let mut open = vec![];
         for _ in 0..80 {
@@ -190,8 +190,8 @@
     net::exec::block_on(async {
         let rows = TableRows::default();
         let first = start_gateway("vm-1", 1, &rows);
-        first.fleet.store(1, std::sync::atomic::Ordering::Relaxed);
-        assert!(first.put_in_force(manifest(2, &[("branch", 1_000_000)])));
+        first.fleet_size.store(1, std::sync::atomic::Ordering::Relaxed);
+        assert!(first.apply_manifest(manifest(2, &[("branch", 1_000_000)])));
         let branch = budget(&first, "branch");
         use_steadily(&branch, Duration::from_secs(3)).await;
         write_note(&first, &mut Some(0)).await.expect("the note is written");
@@ -200,7 +200,7 @@
 
         let rows = rows.snapshot();
         let second = node("vm-1", 2, &rows);
-        assert!(second.put_in_force(manifest(2, &[("branch", 1_000_000)])));
+        assert!(second.apply_manifest(manifest(2, &[("branch", 1_000_000)])));
         recover(&second).await;
         let lost = account(&rows, "branch").lines["branch"].held();
         assert!(used > 20_000, "the outage was bridged: {used} tokens");
@@ -224,7 +224,7 @@
         write_note(&first, &mut Some(0)).await.expect("the note is written");
         let second = start_gateway("vm-1", 2, &rows);
         recover(&second).await;
-        let opened: Vec<String> = second.purses().keys().cloned().collect();
+        let opened: Vec<String> = second.budgets().keys().cloned().collect();
         assert_eq!(opened, ["branch"]);
         exec::sleep(Duration::from_millis(300)).await;
         rows.set_fault(RowsFault::Down);
--- a/crates/gateway/tests/unit/peer_reservations.rs
+++ b/crates/gateway/tests/unit/peer_reservations.rs
@@ -26,7 +26,7 @@
         net::exec::start(2);
         let rows = TableRows::default();
         let nodes = ["vm-1", "vm-2"].map(|name| node(name, 1, &rows));
-        nodes.iter().for_each(|node| assert!(node.put_in_force(manifest(1, &[(TEAM, TOTAL)]))));
+        nodes.iter().for_each(|node| assert!(node.apply_manifest(manifest(1, &[(TEAM, TOTAL)]))));
         let [one, two] = nodes;
         let anywhere = "127.0.0.1:1".parse().expect("an address");
         let peer = |name: &str, address| Peer { name: name.to_owned(), address, cores: 1.0 };
@@ -44,14 +44,14 @@
 
     async fn reserve(&self, tokens: u64) -> Result<Option<Reservation>, Denial> {
         let manifest = self.other.manifest().expect("a manifest");
-        let budget = || self.other.purse(&manifest, &manifest.teams[TEAM]);
+        let budget = || self.other.budget(&manifest, &manifest.teams[TEAM]);
         let level = Level { version: manifest.version, tokens: TOTAL };
         reserve(&self.other, budget, TEAM, level, tokens, Duration::from_millis(500), MAX_DURATION).await
     }
 
     /// The tokens that are reserved at the owner.
     fn reserved_tokens(&self) -> u64 {
-        let budget = self.owner.purses().get(TEAM).cloned();
+        let budget = self.owner.budgets().get(TEAM).cloned();
         budget.map_or(0, |budget| budget.lock().grant.reserved())
     }
 
@@ -81,7 +81,7 @@
         reservation.charge("r-1", 4_000);
         assert_eq!(pair.spent(4_000).await, 4_000);
         assert_eq!(pair.reserved_tokens(), 0);
-        assert!(pair.other.purses().is_empty(), "the other gateway has opened no budget");
+        assert!(pair.other.budgets().is_empty(), "the other gateway has opened no budget");
     });
 }
 
@@ -118,10 +118,10 @@
         // As if the other gateway died: no report is sent.
         let Reservation::Remote(remote) = reservation else { panic!("the reservation is local") };
         remote.discard();
-        for (_, until) in pair.owner.delegate.held.lock().expect("the lock").values_mut() {
+        for (_, until) in pair.owner.peer_reservations.held.lock().expect("the lock").values_mut() {
             *until = Instant::now();
         }
-        pair.owner.delegate.expire();
+        pair.owner.peer_reservations.expire();
         assert_eq!(pair.spent(10_000).await, 10_000);
     });
 }
--- a/crates/gateway/tests/unit/settle.rs
+++ b/crates/gateway/tests/unit/settle.rs
@@ -22,15 +22,15 @@
     tokens: u64,
 ) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node(name, 1, rows);
-    assert!(node.put_in_force(manifest(version, &[("desk", tokens)])));
-    node.fleet.store(2, std::sync::atomic::Ordering::Relaxed);
-    net::exec::spawn(crate::watch::recalls(node.clone())).detach();
+    assert!(node.apply_manifest(manifest(version, &[("desk", tokens)])));
+    node.fleet_size.store(2, std::sync::atomic::Ordering::Relaxed);
+    net::exec::spawn(crate::watch::follow_recalls(node.clone())).detach();
     node
 }
 
 fn budget(node: &Node<PlainTextWire, TableRows>) -> Arc<TeamBudget> {
     let manifest = node.manifest().expect("a manifest is in force");
-    node.purse(&manifest, &manifest.teams["desk"]).expect("the team has a budget")
+    node.budget(&manifest, &manifest.teams["desk"]).expect("the team has a budget")
 }
 
 fn pool(rows: &TableRows) -> Pool {
@@ -92,7 +92,7 @@
         let all = budget.reserve(10_000, RESERVE_TIMEOUT).await.expect("the whole budget fits");
         all.charge("r-1", 10_000);
         assert_matches!(budget.reserve(1, RESERVE_TIMEOUT).await, Err(DenialReason::Spent));
-        gateway.put_in_force(manifest(2, &[("desk", 12_000)]));
+        gateway.apply_manifest(manifest(2, &[("desk", 12_000)]));
         net::exec::sleep(Duration::from_millis(300)).await;
         budget.reserve(2_000, RESERVE_TIMEOUT).await.expect("the raised level covers the request");
     });
@@ -118,7 +118,7 @@
         let budget = budget(&gateway);
         budget.reserve(1_000, RESERVE_TIMEOUT).await.expect("tokens").charge("r-1", 1_000);
         wait_for_pool(&rows, "a share is held", |pool| pool.spent == 1_000 && pool.outstanding > 0).await;
-        gateway.put_in_force(manifest(2, &[("desk", 1_500)]));
+        gateway.apply_manifest(manifest(2, &[("desk", 1_500)]));
         wait_for_pool(&rows, "no more than the level is spent or outstanding", |pool| {
             pool.spent + pool.outstanding <= 1_500
         })
--- a/crates/gateway/tests/unit/snapshot.rs
+++ b/crates/gateway/tests/unit/snapshot.rs
@@ -32,7 +32,7 @@
 
 fn gateway(name: &str, rows: &TableRows) -> Gateway {
     let node = node(name, 1, rows);
-    let watch = exec::spawn(watch::upstreams(node.clone()));
+    let watch = exec::spawn(watch::follow_upstreams(node.clone()));
     Gateway { node, _watch: watch }
 }
 
@@ -205,7 +205,7 @@
         for _ in 0..40 {
             exec::sleep(Duration::from_millis(50)).await;
             let next = node("vm-2", 1, &rows);
-            if let Start::From(snapshot) = start(&next).await {
+            if let Start::From(snapshot) = load_or_claim(&next).await {
                 assert_eq!(snapshot.upstreams, vec![], "an entry that is not in the list");
             }
         }
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -25,7 +25,7 @@
 
 fn followed(rows: &TableRows) -> Arc<Node<PlainTextWire, TableRows>> {
     let node = node("vm-1", 1, rows);
-    exec::spawn(upstreams(node.clone())).detach();
+    exec::spawn(follow_upstreams(node.clone())).detach();
     node
 }
 
@@ -183,7 +183,7 @@
         let rows = TableRows::default();
         operator(&rows, "manifest", "1");
         let first = node("vm-1", 1, &rows);
-        exec::spawn(manifest(first.clone())).detach();
+        exec::spawn(follow_manifest(first.clone())).detach();
         operator(&rows, "evacuated here", "{}");
         operator(&rows, "evacuated nowhere", "not what it should be");
         evacuated(&first, "two rows", &["here", "nowhere"]).await;
@@ -205,7 +205,7 @@
         assert_eq!(first.metrics.data_centres_evacuated.get(), 1);
 
         let next = node("vm-1", 2, &rows);
-        exec::spawn(manifest(next.clone())).detach();
+        exec::spawn(follow_manifest(next.clone())).detach();
         evacuated(&next, "after a restart", &["here"]).await;
     });
 }
--- a/src/cmd/ctl/quarantine.rs
+++ b/src/cmd/ctl/quarantine.rs
@@ -2,7 +2,7 @@
 
 use super::Error;
 use crate::cmd::read_gateway_settings;
-use gateway::denials::{self, Denial, Which};
+use gateway::denials::{self, Denial, Selector};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 
@@ -45,14 +45,14 @@
     /// Fails if the fingerprint is none, nothing of that name is denied, or the store can't be read or written.
     pub fn execute(&self) -> Result<(), Error> {
         let which = match self.which.as_str() {
-            "all" => Which::All,
-            text => Which::One(
+            "all" => Selector::All,
+            text => Selector::One(
                 text.parse().map_err(|error| Error::Mistakes(format!("{error}; say `all` for all")))?,
             ),
         };
         let rows = rows(&self.settings)?;
         let lifted = net::exec::block_on(denials::lift(&rows, which))?;
-        if lifted.is_empty() && which != Which::All {
+        if lifted.is_empty() && which != Selector::All {
             return Err(Error::Mistakes(format!("{} is not denied", self.which)));
         }
         lifted.iter().for_each(|denial| println!("lifted {}", denial.fingerprint));
