--- a/crates/gateway/src/failover.rs
+++ b/crates/gateway/src/failover.rs
@@ -1,7 +1,9 @@
-//! The store with a second way to it: where it does not answer this gateway, another gateway makes the calls.
+//! Access to the store with failover: if the store does not answer this gateway, another gateway makes its
+//! calls.
 //!
-//! Cuts and refusals often concern some gateways only. A call that is made for another is the same call: its
-//! conditions are those of its sender, so an answer that is lost on the way costs what one lost by the store would.
+//! Network partitions and refusals often affect only some gateways. A call is forwarded unchanged, with the
+//! conditions of its sender, so an answer that is lost between gateways has the same effect as one lost
+//! between gateway and store.
 
 use crate::store_health::StoreHealth;
 use http::{Request, Response, StatusCode};
@@ -17,33 +19,34 @@
 use store::rows::{Change, Commit, Feed, Page, Progress, Rows, Since};
 use store::{Error, Fault};
 
-/// How much longer a read is waited for before another gateway is asked as well: its answer may hold more than a write's.
-const READ: Duration = Duration::from_millis(400);
-/// An answer of which bytes came within this time is on its way, and neither given up nor asked for again: the copy would take
-/// half of the link from it.
-const STANDSTILL: Duration = Duration::from_millis(1_000);
-/// From so many bytes on an answer takes the link of a small VM for a while (50 ms at 10 Mbit/s): the gateway makes no calls
-/// for others meanwhile.
-const LARGE: u64 = 64 << 10;
-/// How long a read that is late goes on beside the same call by way of others.
-const LATE: Duration = Duration::from_millis(1_200);
-/// Unused connections to a gateway that are kept, and how long: calls go to ever others of a large fleet, each of which holds
-/// its end.
-const IDLE: (usize, Duration) = (1, Duration::from_millis(1_500));
-/// How often the direct way is tried while it is away.
-const PROBE: Duration = Duration::from_millis(250);
-/// What is read for that: a partition that holds nothing.
+/// How much longer a read may take than a write before another gateway is asked as well, since its answer may
+/// be larger.
+const READ_ALLOWANCE: Duration = Duration::from_millis(400);
+/// While bytes of an answer keep arriving at shorter intervals than this, the call is neither abandoned nor
+/// repeated: a second copy would take half of the link's bandwidth from the first one.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// From this size on, an answer occupies the link of a small VM for a while (50 ms at 10 Mbit/s). Meanwhile
+/// the gateway makes no calls for others.
+const LARGE_ANSWER_BYTES: u64 = 64 << 10;
+/// How long a late read may continue while other gateways are asked to make it too.
+const LATE_READ_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The number of unused connections to a gateway that are kept, and for how long. In a large fleet the calls
+/// go to ever different gateways, and each connection takes memory at both ends.
+const IDLE_CONNECTIONS: (usize, Duration) = (1, Duration::from_millis(1_500));
+/// The interval at which a direct call is tried while the store is unreachable.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// The table and the partition that this call reads. The partition is empty.
 const PROBE_TABLE: &str = "gateways";
 const PROBE_PART: &str = "probe";
-/// Calls of other gateways that one gateway makes at the same time at most: each takes a descriptor and its buffers here, and
-/// a store that answers takes a few milliseconds for each.
-const HELPED: usize = 64;
-/// The largest answer of another gateway, in bytes: a page of the store and its frame.
-const ANSWER_LIMIT: usize = 4 << 20;
-/// The time that an answer takes longer by way of another gateway, in milliseconds: a way within a region.
-const WAY_MS: u64 = 50;
-
-/// A call, as a gateway asks another to make it.
+/// The most calls that a gateway makes for others concurrently. Each takes a descriptor and buffers, and only
+/// a few milliseconds if the store answers.
+const MAX_FORWARDED_CALLS: usize = 64;
+/// The largest message between gateways, in bytes: a page of the store and its encoding.
+const MESSAGE_LIMIT: usize = 4 << 20;
+/// How much longer a call through another gateway may take, in milliseconds: a round trip within a region.
+const FORWARDING_ALLOWANCE_MS: u64 = 50;
+
+/// A call that a gateway asks another one to make.
 #[derive(Debug, Deserialize, Serialize)]
 enum Call {
     Commit(Change),
@@ -51,30 +54,28 @@
     Feed { table: String, since: Since },
 }
 
-/// How a call ended that a gateway made for another.
+/// The result of a call that a gateway made for another one.
 #[derive(Debug, Deserialize, Serialize)]
 enum Answer<T> {
+    /// The store's answer.
     Done(T),
-    /// The store's answer, or what became of the call.
-    Failed {
-        not_applied: bool,
-        reason: String,
-    },
-    /// This gateway does not reach the store either; nothing was done.
+    /// The call failed; whether the store certainly did not apply it, and why.
+    Failed { not_applied: bool, reason: String },
+    /// The call was not made: the gateway can't reach the store either, or is too busy.
     Away,
 }
 
-/// A store that is reached directly, or by way of another gateway.
+/// A store that is called directly, or through another gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct Failover<S> {
     direct: S,
     client: Client,
-    access: Arc<Mutex<StoreHealth>>,
-    /// Calls that are being made for other gateways.
-    helped: Arc<AtomicUsize>,
-    /// Reads whose answers are awaited.
+    health: Arc<Mutex<StoreHealth>>,
+    /// The number of calls that are being made for other gateways.
+    forwarded: Arc<AtomicUsize>,
+    /// The reads in progress.
     reads: Arc<Mutex<Vec<Progress>>>,
-    /// Told of the bytes of answers.
+    /// Counts the received bytes of the next read for the caller.
     progress: Option<Progress>,
 }
 
@@ -82,40 +83,40 @@
     pub(crate) fn new(direct: S) -> Failover<S> {
         Failover {
             direct,
-            client: Client::with_idle(IDLE.0, IDLE.1),
-            access: Arc::default(),
-            helped: Arc::default(),
+            client: Client::with_idle(IDLE_CONNECTIONS.0, IDLE_CONNECTIONS.1),
+            health: Arc::default(),
+            forwarded: Arc::default(),
             reads: Arc::default(),
             progress: None,
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, StoreHealth> {
-        self.access.lock().expect("no thread panics while it holds the access")
+        self.health.lock().expect("the health lock is not poisoned")
     }
 
-    /// Begins to follow a read.
-    fn read(&self) -> Read<'_> {
+    /// Registers a read.
+    fn begin_read(&self) -> ActiveRead<'_> {
         let progress = self.progress.clone().unwrap_or_default();
         self.reads.lock().expect("no thread panics while it holds the reads").push(progress.clone());
-        Read { progress, reads: &self.reads }
+        ActiveRead { progress, reads: &self.reads }
     }
 
-    /// Whether the answer to a read takes the link now.
-    fn is_reading(&self) -> bool {
+    /// Whether a large answer to a read is occupying the link.
+    fn is_link_busy(&self) -> bool {
         let reads = self.reads.lock().expect("no thread panics while it holds the reads");
-        reads.iter().any(|read| read.bytes() >= LARGE)
+        reads.iter().any(|read| read.bytes() >= LARGE_ANSWER_BYTES)
     }
 
-    /// Takes in where the other gateways listen.
+    /// Sets the addresses of the other gateways.
     pub(crate) fn set_peers(&self, peers: &[SocketAddr]) {
         self.lock().set_peers(peers);
     }
 
     /// Makes a call directly, or has another gateway make it.
     ///
-    /// A call that writes is made once: if its fate is not known, whoever made it has to look.
-    async fn reach<T: DeserializeOwned>(
+    /// A write is made only once. If its outcome is unknown, the caller has to find it out.
+    async fn call<T: DeserializeOwned>(
         &self,
         step: &'static str,
         call: &Call,
@@ -124,49 +125,50 @@
     ) -> Result<T, Error> {
         let mut direct = pin!(direct);
         if self.lock().is_unreachable() {
-            return match self.reach_by_others(step, call).await {
+            return match self.call_through_peers(step, call).await {
                 Some(result) => result,
-                None => self.reach_directly(step, call, progress, direct).await.unwrap_or_else(Err),
+                None => self.call_directly(step, call, progress, direct).await.unwrap_or_else(Err),
             };
         }
-        match self.reach_directly(step, call, progress, direct.as_mut()).await {
-            Err(late) if call.is_read() => self.race(step, call, progress, direct, late).await,
+        match self.call_directly(step, call, progress, direct.as_mut()).await {
+            Err(late) if call.is_read() => self.race_late_read(step, call, progress, direct, late).await,
             Err(late) => Err(late),
-            Ok(Err(error)) if self.lock().is_unreachable() && call.may_be_made_again(&error) => {
-                self.reach_by_others(step, call).await.unwrap_or(Err(error))
+            Ok(Err(error)) if self.lock().is_unreachable() && call.may_be_repeated(&error) => {
+                self.call_through_peers(step, call).await.unwrap_or(Err(error))
             }
             Ok(result) => result,
         }
     }
 
-    /// Makes a call directly; `Err` says that it is late.
-    async fn reach_directly<T>(
+    /// Makes a call directly. Fails with a time-out error if there is no answer in time.
+    async fn call_directly<T>(
         &self,
         step: &'static str,
         call: &Call,
         progress: &Progress,
         mut direct: Pin<&mut impl Future<Output = Result<T, Error>>>,
     ) -> Result<Result<T, Error>, Error> {
-        let more = if call.is_read() { READ } else { Duration::ZERO };
-        let limit = self.lock().call_timeout() + call.wait() + more;
+        let allowance = if call.is_read() { READ_ALLOWANCE } else { Duration::ZERO };
+        let limit = self.lock().call_timeout() + call.wait() + allowance;
         let began = Instant::now();
-        let result = arriving(progress, limit, STANDSTILL, direct.as_mut()).await.ok_or_else(|| {
+        let result = await_answer(progress, limit, STALL_TIMEOUT, direct.as_mut()).await.ok_or_else(|| {
             let reason = format!("no answer within {} ms", limit.as_millis());
             Error { step, peer: "the store".to_owned(), fault: Fault::Unknown, reason }
         });
         match &result {
             Ok(Ok(_)) => {
-                // What a large answer takes says nothing of others.
-                let is_usual = call.wait().is_zero() && progress.bytes() < LARGE;
-                self.answered(is_usual.then(|| began.elapsed().as_secs_f64() * 1_000.0));
+                // The time of a large answer, or of one that the store held back, is not typical of other
+                // calls.
+                let is_typical = call.wait().is_zero() && progress.bytes() < LARGE_ANSWER_BYTES;
+                self.record_answer(is_typical.then(|| began.elapsed().as_secs_f64() * 1_000.0));
             }
-            Ok(Err(error)) | Err(error) => self.failed(error),
+            Ok(Err(error)) | Err(error) => self.record_failure(error),
         }
         result
     }
 
-    /// Waits on for a read that is late, and has another gateway make it too.
-    async fn race<T: DeserializeOwned>(
+    /// Continues to wait for a late read while other gateways are asked to make it too.
+    async fn race_late_read<T: DeserializeOwned>(
         &self,
         step: &'static str,
         call: &Call,
@@ -174,52 +176,53 @@
         direct: Pin<&mut impl Future<Output = Result<T, Error>>>,
         late: Error,
     ) -> Result<T, Error> {
-        let rest = async {
-            let result = arriving(progress, LATE, STANDSTILL, direct).await.unwrap_or(Err(late));
+        let direct = async {
+            let result =
+                await_answer(progress, LATE_READ_TIMEOUT, STALL_TIMEOUT, direct).await.unwrap_or(Err(late));
             if result.is_ok() {
-                self.answered(None);
+                self.record_answer(None);
             }
             result
         };
-        let by_others = async {
-            match self.reach_by_others(step, call).await {
+        let forwarded = async {
+            match self.call_through_peers(step, call).await {
                 Some(Ok(value)) => Ok(value),
                 _ => std::future::pending().await,
             }
         };
-        smol::future::or(rest, by_others).await
+        smol::future::or(direct, forwarded).await
     }
 
-    fn answered(&self, ms: Option<f64>) {
-        if let Some(away) = self.lock().record_answer(ms) {
-            log::info!("store: event=direct-way-regained after-ms={}", away.as_millis());
+    fn record_answer(&self, ms: Option<f64>) {
+        if let Some(outage) = self.lock().record_answer(ms) {
+            log::info!("store: event=direct-way-regained after-ms={}", outage.as_millis());
         }
     }
 
-    fn failed(&self, error: &Error) {
-        let has_left = match error.fault {
+    fn record_failure(&self, error: &Error) {
+        let is_lost = match error.fault {
             Fault::Unknown => self.lock().record_no_answer(),
             Fault::NotApplied => self.lock().record_refusal(),
         };
-        if has_left {
+        if is_lost {
             log::warn!("store: event=direct-way-lost peers={} {error}", self.lock().peers.len());
             exec::spawn(self.clone().probe()).detach();
         }
     }
 
-    /// Tries the direct way until it works again.
+    /// Tries a direct call periodically until the store answers.
     async fn probe(self) {
         while self.lock().is_unreachable() {
-            exec::sleep(PROBE).await;
+            exec::sleep(PROBE_INTERVAL).await;
             let limit = self.lock().call_timeout();
             if let Some(Ok(_)) = exec::timeout(limit, self.direct.list(PROBE_TABLE, PROBE_PART)).await {
-                self.answered(None);
+                self.record_answer(None);
             }
         }
     }
 
-    /// Has another gateway make a call; `None` if none could.
-    async fn reach_by_others<T: DeserializeOwned>(
+    /// Asks other gateways to make a call; `None` if none of them made it.
+    async fn call_through_peers<T: DeserializeOwned>(
         &self,
         step: &'static str,
         call: &Call,
@@ -238,7 +241,7 @@
                 Ok(Answer::Away) => self.lock().back_off(peer),
                 Err(error) => {
                     self.lock().back_off(peer);
-                    if !call.may_be_made_again(&error) {
+                    if !call.may_be_repeated(&error) {
                         return Some(Err(error));
                     }
                 }
@@ -247,6 +250,7 @@
         None
     }
 
+    /// Asks one gateway to make a call.
     async fn ask<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -257,8 +261,8 @@
         let body = bincode::serialize(call).map_err(|reason| error(Fault::NotApplied, reason.to_string()))?;
         let request = Request::post(format!("http://{peer}/")).body(Body::from(body));
         let request = request.map_err(|reason| error(Fault::NotApplied, reason.to_string()))?;
-        let limit = self.lock().call_timeout() + call.wait() + Duration::from_millis(WAY_MS);
-        let answer = self.client.exchange(step, request, ANSWER_LIMIT, limit).await.map_err(|failed| {
+        let limit = self.lock().call_timeout() + call.wait() + Duration::from_millis(FORWARDING_ALLOWANCE_MS);
+        let answer = self.client.exchange(step, request, MESSAGE_LIMIT, limit).await.map_err(|failed| {
             let fault = match failed.fault {
                 net::Fault::Unsent => Fault::NotApplied,
                 net::Fault::Unknown => Fault::Unknown,
@@ -268,33 +272,33 @@
         bincode::deserialize(answer.body()).map_err(|reason| error(Fault::Unknown, reason.to_string()))
     }
 
-    /// Makes another gateway's call, if this gateway reaches the store itself.
+    /// Makes a call for another gateway, if this gateway can reach the store directly.
     pub(crate) async fn answer(self, request: Request<Incoming>) -> Response<Body> {
-        let Ok(bytes) = net::collect(request.into_body(), ANSWER_LIMIT).await else { return refuse() };
+        let Ok(bytes) = net::collect(request.into_body(), MESSAGE_LIMIT).await else { return refuse() };
         let Ok(call) = bincode::deserialize::<Call>(&bytes) else { return refuse() };
         match call {
-            Call::Commit(change) => self.make("commit", &change, self.direct.commit(&change)).await,
+            Call::Commit(change) => self.make_for_peer("commit", &change, self.direct.commit(&change)).await,
             Call::List { table, part } => {
-                let read = self.read();
+                let read = self.begin_read();
                 let direct = self.direct.reporting(&read.progress);
-                self.make("list", &table, direct.list(&table, &part)).await
+                self.make_for_peer("list", &table, direct.list(&table, &part)).await
             }
             Call::Feed { table, since } => {
-                let read = self.read();
+                let read = self.begin_read();
                 let direct = self.direct.reporting(&read.progress);
-                self.make("feed", &table, direct.feed(&table, since)).await
+                self.make_for_peer("feed", &table, direct.feed(&table, since)).await
             }
         }
     }
 
-    async fn make<T: Serialize>(
+    async fn make_for_peer<T: Serialize>(
         &self,
         step: &'static str,
         what: &impl std::fmt::Debug,
         call: impl Future<Output = Result<T, Error>>,
     ) -> Response<Body> {
-        let place = Place::take(&self.helped);
-        if self.lock().is_unreachable() || self.is_reading() || place.number > HELPED {
+        let slot = CallSlot::take(&self.forwarded);
+        if self.lock().is_unreachable() || self.is_link_busy() || slot.number > MAX_FORWARDED_CALLS {
             return encode(&Answer::<T>::Away);
         }
         let answer = match call.await {
@@ -308,13 +312,13 @@
     }
 }
 
-/// A read whose answer is awaited, until it is dropped.
-struct Read<'a> {
+/// A read in progress. Dropping it ends the registration.
+struct ActiveRead<'a> {
     progress: Progress,
     reads: &'a Mutex<Vec<Progress>>,
 }
 
-impl Drop for Read<'_> {
+impl Drop for ActiveRead<'_> {
     fn drop(&mut self) {
         let mut reads = self.reads.lock().expect("no thread panics while it holds the reads");
         if let Some(index) = reads.iter().position(|read| read.is(&self.progress)) {
@@ -323,12 +327,12 @@
     }
 }
 
-/// Waits for an answer that comes within `limit`, and as long as its bytes come without a pause of `standstill` after that;
-/// `None` if they don't.
-async fn arriving<T>(
+/// Waits for an answer for `limit`, and after that for as long as its bytes arrive without a gap of
+/// `stall_timeout`. Returns `None` on a time-out.
+async fn await_answer<T>(
     progress: &Progress,
     limit: Duration,
-    standstill: Duration,
+    stall_timeout: Duration,
     mut answer: Pin<&mut impl Future<Output = T>>,
 ) -> Option<T> {
     let (mut wait, mut seen) = (limit, 0);
@@ -336,34 +340,35 @@
         if let Some(answer) = exec::timeout(wait, answer.as_mut()).await {
             return Some(answer);
         }
-        let come = progress.bytes();
-        if come == seen {
+        let received = progress.bytes();
+        if received == seen {
             return None;
         }
-        (wait, seen) = (standstill, come);
+        (wait, seen) = (stall_timeout, received);
     }
 }
 
-/// A place among the calls that are made for others, until it is dropped.
-struct Place<'a> {
-    helped: &'a AtomicUsize,
+/// Counts a call that is made for another gateway until it is dropped.
+struct CallSlot<'a> {
+    forwarded: &'a AtomicUsize,
+    /// The number of such calls, this one included.
     number: usize,
 }
 
-impl Place<'_> {
-    fn take(helped: &AtomicUsize) -> Place<'_> {
-        Place { helped, number: helped.fetch_add(1, Ordering::Relaxed) + 1 }
+impl CallSlot<'_> {
+    fn take(forwarded: &AtomicUsize) -> CallSlot<'_> {
+        CallSlot { forwarded, number: forwarded.fetch_add(1, Ordering::Relaxed) + 1 }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for CallSlot<'_> {
     fn drop(&mut self) {
-        self.helped.fetch_sub(1, Ordering::Relaxed);
+        self.forwarded.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Call {
-    /// How long the store may hold it.
+    /// How long the store may hold the call before it answers.
     fn wait(&self) -> Duration {
         match self {
             Call::Feed { since, .. } => Duration::from_millis(since.wait_ms),
@@ -375,8 +380,8 @@
         !matches!(self, Call::Commit(_))
     }
 
-    /// Whether it may be made again after it failed so.
-    fn may_be_made_again(&self, error: &Error) -> bool {
+    /// Whether the call may be repeated after this error.
+    fn may_be_repeated(&self, error: &Error) -> bool {
         self.is_read() || error.fault == Fault::NotApplied
     }
 }
@@ -400,21 +405,21 @@
 impl<S: Rows> Rows for Failover<S> {
     async fn commit(&self, change: &Change) -> Result<Commit, Error> {
         let call = Call::Commit(change.clone());
-        self.reach("commit", &call, &Progress::default(), self.direct.commit(change)).await
+        self.call("commit", &call, &Progress::default(), self.direct.commit(change)).await
     }
 
     async fn list(&self, table: &str, part: &str) -> Result<Page, Error> {
         let call = Call::List { table: table.to_owned(), part: part.to_owned() };
-        let read = self.read();
+        let read = self.begin_read();
         let direct = self.direct.reporting(&read.progress);
-        self.reach("list", &call, &read.progress, direct.list(table, part)).await
+        self.call("list", &call, &read.progress, direct.list(table, part)).await
     }
 
     async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
         let call = Call::Feed { table: table.to_owned(), since };
-        let read = self.read();
+        let read = self.begin_read();
         let direct = self.direct.reporting(&read.progress);
-        self.reach("feed", &call, &read.progress, direct.feed(table, since)).await
+        self.call("feed", &call, &read.progress, direct.feed(table, since)).await
     }
 
     fn reporting(&self, progress: &Progress) -> Failover<S> {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,24 @@
-//! The gateway: the request path that runs on a platform which brings its own configuration, list of upstreams
-//! and store.
+//! The gateway: the request path for a platform that provides its own configuration, list of upstreams and
+//! store.
 //!
-//! One request goes through these modules, each of which imports only those after it: `handle` admits it and
-//! decides what to do when a dispatch fails, `relay` passes a stream on, `attempt` is one dispatch, `quarantine` looks into one that broke off, `job` holds
-//! the request and what it took, `team_budget` its tokens, `node` the gateway's state. `settle`, `notes` and `closing`
-//! keep the budgets in the store, `watch` and `members` follow it, `snapshot` keeps the list of upstreams short for those that start. [`ports`] is the language of callers, upstreams and operators; an adapter speaks it.
+//! A request passes through these modules:
+//!
+//! - `handle` admits it and decides what to do when a dispatch fails.
+//! - `relay` forwards a streamed answer.
+//! - `attempt` is a single dispatch.
+//! - `quarantine` inspects a dispatch that broke off, and denies requests that terminate upstreams.
+//! - `job` holds the request and what it has acquired.
+//! - `team_budget` and `budget_state` reserve its tokens at this gateway, `peer_reservations` at one that
+//!   `owners` selects.
+//! - `node` holds the state of the gateway.
+//!
+//! Other modules run in the background. `settle`, `notes` and `closing` keep the budgets in the store.
+//! `watch` and `members` follow the store: the manifest, the upstreams and the other gateways. `snapshot`
+//! reduces what starting gateways read of the list of upstreams. `failover` makes calls to the store through
+//! another gateway where `store_health` finds it unreachable. `hints` exchanges datagrams with the other
+//! gateways, and `load` measures the load of the VM.
+//!
+//! [`ports`] is the interface to callers, upstreams and operators, which an adapter implements.
 
 mod attempt;
 mod body;
@@ -56,36 +70,39 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use store::rows::Rows;
 
-/// How long callers' connections may rest: the callers close them long before.
-const CALLER_IDLE: Duration = Duration::from_secs(60);
-/// How long a stopping gateway takes new work: the balancer asks each second and believes the second answer.
-const LEAVE: Duration = Duration::from_millis(2_600);
-/// Time kept at the end of the grace for giving tokens back.
-const SETTLE: Duration = Duration::from_millis(700);
-/// Time kept at the very end, so that the process ends before it is killed.
-const LAST_CALLS: Duration = Duration::from_millis(150);
-/// How often a stopping gateway looks whether its requests have ended.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time between two sweeps of unused connections and two updates of the gauges.
-const SWEEP: Duration = Duration::from_millis(1_000);
-/// Sweeps between two lines that tell the calls to the store.
-const CALLS_LINE: u64 = 10;
+/// How long a caller's connection may be idle. Callers close idle connections long before.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a stopping gateway still accepts requests: the balancer checks readiness every second, and acts
+/// on the second failed check.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_600);
+/// The time reserved at the end of the grace period for returning tokens.
+const SETTLE_RESERVE: Duration = Duration::from_millis(700);
+/// The time reserved at the very end, so that the process exits before it is killed.
+const EXIT_RESERVE: Duration = Duration::from_millis(150);
+/// The interval at which a stopping gateway checks whether its requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval at which unused connections are closed and gauges are updated.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The number of sweeps between two log lines with the totals of calls to the store.
+const SWEEPS_PER_LOG_LINE: u64 = 10;
 
-/// A gateway that has been started.
+/// A running gateway.
 pub struct Running<W: Wire, S: Rows> {
     node: Arc<Node<W, S>>,
     callers: Handle,
     readiness: Handle,
-    /// Where other gateways reserve tokens and have calls to the store made; `None` if its address could not be bound.
+    /// Serves other gateways, which reserve tokens here and make calls to the store through this gateway;
+    /// `None` if its address could not be bound.
     _peers: Option<Handle>,
-    /// Stops once it is dropped; `None` if its address could not be bound or is that of readiness.
+    /// Serves metrics until it is dropped; `None` if its address could not be bound, or if the readiness
+    /// listener serves them.
     _metrics: Option<Handle>,
 }
 
 /// Starts a gateway.
 ///
 /// # Errors
-/// Fails if an address can't be bound.
+/// Fails if the address for callers or for readiness can't be bound.
 pub async fn start<W: Wire, S: Rows>(settings: Settings, wire: W, rows: S) -> io::Result<Running<W, S>> {
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_micros() as u64);
     let listen = settings.listen.clone();
@@ -101,25 +118,25 @@
     exec::spawn(load::run(node.clone())).detach();
     exec::spawn(sweep(node.clone())).detach();
 
-    let limits = net::Limits { head_time: CALLER_IDLE, ..net::Limits::default() };
+    let limits = net::Limits { head_time: CALLER_IDLE_TIMEOUT, ..net::Limits::default() };
     let shared = node.clone();
     let callers =
         net::serve(listen.callers, limits, move |request| handle::answer(shared.clone(), request)).await?;
     let shared = node.clone();
     let readiness = net::serve(listen.readiness, limits, move |request: Request<Incoming>| {
-        std::future::ready(operators(&shared, &request))
+        std::future::ready(answer_operator(&shared, &request))
     })
     .await?;
     let shared = node.clone();
-    let for_others = net::serve(listen.peers, limits, move |request| for_peer(shared.clone(), request));
-    let peers = for_others
+    let serving = net::serve(listen.peers, limits, move |request| answer_peer(shared.clone(), request));
+    let peers = serving
         .await
         .inspect_err(|error| {
             log::error!("gateway: event=not-bound-for-peers address={} error=\"{error}\"", listen.peers)
         })
         .ok();
     let metrics =
-        if listen.metrics == listen.readiness { None } else { metrics(&node, &listen, limits).await };
+        if listen.metrics == listen.readiness { None } else { serve_metrics(&node, &listen, limits).await };
     log::info!(
         "gateway: event=start holder={} data-centre={} callers={} readiness={} store={}",
         node.holder,
@@ -131,8 +148,8 @@
     Ok(Running { node, callers, readiness, _peers: peers, _metrics: metrics })
 }
 
-/// Answers another gateway.
-async fn for_peer<W: Wire, S: Rows>(node: Arc<Node<W, S>>, request: Request<Incoming>) -> Response<Body> {
+/// Answers a request of another gateway.
+async fn answer_peer<W: Wire, S: Rows>(node: Arc<Node<W, S>>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         peer_reservations::RESERVE_PATH | peer_reservations::REPORT_PATH => {
             peer_reservations::answer(node, request).await
@@ -141,14 +158,14 @@
     }
 }
 
-/// Serves metrics at an address of their own; a gateway without them is better than none.
-async fn metrics<W: Wire, S: Rows>(
+/// Serves metrics at a separate address. If it can't be bound, the gateway runs without them.
+async fn serve_metrics<W: Wire, S: Rows>(
     node: &Arc<Node<W, S>>,
     listen: &Listen,
     limits: net::Limits,
 ) -> Option<Handle> {
     let shared = node.clone();
-    let serve = move |request: Request<Incoming>| std::future::ready(operators(&shared, &request));
+    let serve = move |request: Request<Incoming>| std::future::ready(answer_operator(&shared, &request));
     match net::serve(listen.metrics, limits, serve).await {
         Ok(handle) => Some(handle),
         Err(error) => {
@@ -158,8 +175,8 @@
     }
 }
 
-/// Answers the balancer and whoever collects metrics.
-fn operators<W: Wire, S: Rows>(node: &Node<W, S>, request: &Request<Incoming>) -> Response<Body> {
+/// Answers readiness checks of the balancer and scrapes of metrics.
+fn answer_operator<W: Wire, S: Rows>(node: &Node<W, S>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path().starts_with("/metrics") {
         return Response::new(Body::from(node.metrics.encode()));
     }
@@ -170,25 +187,26 @@
     response
 }
 
+/// Closes unused connections, drops expired reservations, updates gauges and logs totals.
 async fn sweep<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     for round in 1u64.. {
-        exec::sleep(SWEEP).await;
+        exec::sleep(SWEEP_INTERVAL).await;
         node.pool.sweep();
         node.peer_reservations.expire();
-        if round.is_multiple_of(CALLS_LINE) {
+        if round.is_multiple_of(SWEEPS_PER_LOG_LINE) {
             log::info!("store: event=calls {}", node.metrics.store_calls_line());
             log::info!("store: event=bytes {}", node.metrics.store_bytes_line());
             log_models(&node);
         }
         for (team, budget) in node.budgets().iter() {
-            let figures = budget.token_counts();
+            let counts = budget.token_counts();
             let states = [
-                ("available", figures.available),
-                ("in-use", figures.in_use),
-                ("pool-free", figures.free),
-                ("pool-outstanding", figures.outstanding),
-                ("pool-spent", figures.spent),
-                ("level", figures.level),
+                ("available", counts.available),
+                ("in-use", counts.in_use),
+                ("pool-free", counts.free),
+                ("pool-outstanding", counts.outstanding),
+                ("pool-spent", counts.spent),
+                ("level", counts.level),
             ];
             for (state, tokens) in states {
                 node.metrics.budget_tokens.with_label_values(&[team.as_str(), state]).set(tokens as i64);
@@ -200,7 +218,7 @@
     }
 }
 
-/// Tells what was learned of the engines.
+/// Logs the measured speed of the engines of each service.
 fn log_models<W: Wire, S: Rows>(node: &Node<W, S>) {
     let places = node.places();
     for (service, model, usual) in places.models() {
@@ -220,34 +238,35 @@
         (self.callers.address(), self.readiness.address())
     }
 
-    /// The clock by which it keeps deadlines, rests and ages.
+    /// The clock that its deadlines, back-offs and ages are measured with.
     pub fn clock(&self) -> &net::Clock {
         &self.node.clock
     }
 
-    /// Stops without cutting off a request: not ready at once, no new work after the balancer's delay, every open
-    /// answer finished as far as the grace allows, unused tokens given back.
+    /// Stops gracefully. The gateway reports not ready at once, and accepts no new requests once the balancer
+    /// has noticed. It finishes the open requests as far as the grace period allows, and returns unused
+    /// tokens.
     pub async fn stop(self) {
         let node = &self.node;
         log::info!("gateway: event=stopping open={}", node.open_requests.load(Ordering::Relaxed));
         let began = std::time::Instant::now();
         node.set_phase(Phase::Leaving);
-        // Tokens go back while the open requests end, so that little is left to settle afterwards.
+        // Tokens are returned while the open requests end, so that little is left to settle afterwards.
         node.budgets().values().for_each(|budget| budget.retire());
-        exec::sleep(LEAVE.min(node.settings.grace_period() / 2)).await;
+        exec::sleep(DEREGISTRATION_DELAY.min(node.settings.grace_period() / 2)).await;
         node.set_phase(Phase::Draining);
         self.callers.stop();
-        let last = node.settings.grace_period().saturating_sub(SETTLE);
-        while self.callers.open() > 0 && began.elapsed() < last {
-            exec::sleep(LOOK).await;
+        let drain_limit = node.settings.grace_period().saturating_sub(SETTLE_RESERVE);
+        while self.callers.open() > 0 && began.elapsed() < drain_limit {
+            exec::sleep(DRAIN_POLL_INTERVAL).await;
         }
         log::info!("gateway: event=drained open={}", node.open_requests.load(Ordering::Relaxed));
         let budgets: Vec<_> = node.budgets().values().cloned().collect();
-        let rest = || (node.settings.grace_period() - LAST_CALLS).saturating_sub(began.elapsed());
-        let limit = rest();
+        let remaining = || (node.settings.grace_period() - EXIT_RESERVE).saturating_sub(began.elapsed());
+        let limit = remaining();
         let closing = budgets.iter().map(|budget| budget.close(limit));
         futures::future::join_all(closing).await;
-        if exec::timeout(rest(), members::deregister(node)).await.is_none() {
+        if exec::timeout(remaining(), members::deregister(node)).await.is_none() {
             log::warn!("fleet: event=good-bye-failed reason=\"no time was left\"");
         }
         self.readiness.stop();
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,7 +1,7 @@
-//! The gateways of the fleet: each writes a heartbeat row, and reads the others'.
+//! Membership of the fleet: each gateway writes a heartbeat row and reads those of the others.
 //!
-//! Only shares of connections, repeats and budgets depend on this list, and which engines are kept for short work. None
-//! of them is part of an argument about safety.
+//! The list of gateways determines each one's share of connections, retries and budgets, and which engines
+//! are reserved for short requests. No safety property depends on it.
 
 use crate::node::{Node, Phase};
 use crate::owners::Peer;
@@ -18,149 +18,158 @@
 
 /// The table of heartbeats.
 const TABLE: &str = "gateways";
-/// Time between two heartbeats, in milliseconds, in a small fleet: how long the gateways take to agree on which engines
-/// are kept for short work.
-const BEAT_MS: u64 = 1_500;
-/// Heartbeats that the whole fleet writes in a second at most: a small part of what the store takes.
-const BEATS_PER_S: u64 = 50;
-/// Bytes of the list that a gateway reads in a second at most: in a large fleet it is read less often than heartbeats are
-/// written.
-const LIST_BYTES_PER_S: u64 = 4_096;
-/// What a row takes beside its value, in bytes.
-const ROW_BYTES: u64 = 100;
-/// A gateway counts as gone after so many missed heartbeats.
-const MISSED: u64 = 8;
-
-/// A heartbeat.
+/// The heartbeat interval in a small fleet, in milliseconds. It is how long the gateways take to agree on
+/// which engines are reserved for short requests.
+const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
+/// The most heartbeats that the whole fleet writes per second: a small part of the writes that the store
+/// accepts.
+const MAX_HEARTBEATS_PER_S: u64 = 50;
+/// The most bytes of the list that a gateway reads per second. In a large fleet it therefore reads the list
+/// less often than it writes heartbeats.
+const MAX_LIST_BYTES_PER_S: u64 = 4_096;
+/// The size of a row in addition to its value, in bytes.
+const ROW_OVERHEAD_BYTES: u64 = 100;
+/// The number of missed heartbeats after which a gateway is considered gone.
+const MAX_MISSED_HEARTBEATS: u64 = 8;
+
+/// The value of a heartbeat row.
 #[derive(Debug, Deserialize, Serialize)]
-struct Beat {
-    /// The VM with the incarnation of its process.
+struct Heartbeat {
+    /// The name of the VM and the incarnation of the process.
     holder: String,
-    /// Where it listens for the other gateways' datagrams.
+    /// The address at which it listens for the other gateways' requests and datagrams.
     peers: SocketAddr,
-    /// Processor cores that its VM has.
+    /// The number of processor cores of its VM.
     #[serde(default = "whole_core")]
     cores: f64,
-    /// How long the process has run, in milliseconds: a row that did not change would say nothing.
+    /// How long the process has run, in milliseconds. It makes each heartbeat differ from the one before.
     up_ms: u64,
-    /// The engines of each service that are kept for short work: the first gateway decides, and the others follow.
+    /// The engines of each service that are reserved for short requests. The first gateway decides, and the
+    /// others adopt its decision.
     #[serde(default)]
     kept_for_short: BTreeMap<String, Vec<String>>,
-    /// The newest version of the table of denied requests that it has read.
+    /// The newest version of the table of denied requests that it knows of.
     #[serde(default)]
     quarantine: u64,
 }
 
-/// Gateways of an earlier version did not say what they have.
+/// The cores of a gateway of an earlier version, whose heartbeats don't contain them.
 fn whole_core() -> f64 {
     1.0
 }
 
-/// A heartbeat as it was last seen.
+/// The last change of a heartbeat row.
 struct Seen {
     version: u64,
+    /// When this gateway noticed it.
     at: u64,
 }
 
-/// The heartbeats as this gateway saw them.
+/// The heartbeats that this gateway has read.
 #[derive(Default)]
 struct Members {
     seen: HashMap<String, Seen>,
-    /// When they were read last.
-    read: Option<u64>,
+    /// When they were last read.
+    read_at: Option<u64>,
     /// Whether this gateway is the first by name of those alive.
     is_first: bool,
-    /// The time between two reads, in milliseconds.
+    /// The interval between reads, in milliseconds.
     interval_ms: u64,
 }
 
-/// Writes this gateway's heartbeats and follows the others'.
+/// Writes this gateway's heartbeats and reads those of the others.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
-    let mut seen = Members::default();
+    let mut members = Members::default();
     let mut next_read = 0;
     loop {
-        let period = period(&node);
+        let interval_ms = heartbeat_interval_ms(&node);
         if node.now() >= next_read {
-            let asked = node.now();
+            let requested = node.now();
             match node.rows.list(TABLE, "").await {
                 Ok(page) => {
-                    next_read = node.now() + reading_ms(&page);
-                    seen.interval_ms = period.max(reading_ms(&page));
-                    enrol(&node, &page, asked, seen.interval_ms);
-                    let gone = look(&node, &mut seen, &page, period * MISSED);
+                    next_read = node.now() + min_read_interval_ms(&page);
+                    members.interval_ms = interval_ms.max(min_read_interval_ms(&page));
+                    update_roster(&node, &page, requested, members.interval_ms);
+                    let gone =
+                        update_members(&node, &mut members, &page, interval_ms * MAX_MISSED_HEARTBEATS);
                     for name in gone {
                         log::warn!("fleet: event=gateway-gone gateway={name}");
-                        forget(&node, &name).await;
+                        remove_gateway(&node, &name).await;
                     }
                 }
                 Err(error) => log::warn!("fleet: event=not-read {error}"),
             }
         }
         if node.phase() != Phase::Draining {
-            beat(&node, &seen).await;
+            send_heartbeat(&node, &members).await;
         }
-        exec::sleep(Duration::from_millis(period)).await;
+        exec::sleep(Duration::from_millis(interval_ms)).await;
     }
 }
 
-/// Time between two heartbeats in a fleet of this size, in milliseconds.
-fn period<W: Wire, S: Rows>(node: &Node<W, S>) -> u64 {
-    BEAT_MS.max(node.fleet_size() * 1_000 / BEATS_PER_S)
+/// The heartbeat interval in a fleet of the current size, in milliseconds.
+fn heartbeat_interval_ms<W: Wire, S: Rows>(node: &Node<W, S>) -> u64 {
+    HEARTBEAT_INTERVAL_MS.max(node.fleet_size() * 1_000 / MAX_HEARTBEATS_PER_S)
 }
 
-/// The time that reading a list of this size takes at the rate that is allowed, in milliseconds.
-fn reading_ms(page: &Page) -> u64 {
-    let bytes = |record: &Record| record.value.as_ref().map_or(0, Vec::len) as u64 + ROW_BYTES;
-    page.records.iter().map(bytes).sum::<u64>() * 1_000 / LIST_BYTES_PER_S
+/// The shortest interval between reads of a list of this size, in milliseconds.
+fn min_read_interval_ms(page: &Page) -> u64 {
+    let bytes = |record: &Record| record.value.as_ref().map_or(0, Vec::len) as u64 + ROW_OVERHEAD_BYTES;
+    page.records.iter().map(bytes).sum::<u64>() * 1_000 / MAX_LIST_BYTES_PER_S
 }
 
-/// How many gateways there are; `None` if the list was not read for so long that the others may have forgotten this one
-/// and share among themselves what it takes for its own part.
+/// The number of gateways; `None` if the list has not been read for so long that the others may have removed
+/// this gateway, and may have divided its share among themselves.
 pub(crate) fn known_fleet_size<W: Wire, S: Rows>(node: &Node<W, S>) -> Option<u32> {
-    let read = node.fleet_read_ms.load(Ordering::Relaxed);
-    let is_known = read > 0 && node.now().saturating_sub(read) < period(node) * MISSED;
+    let read_ms = node.fleet_read_ms.load(Ordering::Relaxed);
+    let is_known = read_ms > 0
+        && node.now().saturating_sub(read_ms) < heartbeat_interval_ms(node) * MAX_MISSED_HEARTBEATS;
     is_known.then_some(node.fleet_size() as u32)
 }
 
-/// Writes a heartbeat.
-async fn beat<W: Wire, S: Rows>(node: &Node<W, S>, members: &Members) {
-    let kept_for_short = if members.is_first { divide(node) } else { BTreeMap::new() };
+/// Writes a heartbeat. The first gateway also decides which engines are reserved for short requests.
+async fn send_heartbeat<W: Wire, S: Rows>(node: &Node<W, S>, members: &Members) {
+    let kept_for_short = if members.is_first { divide_engines(node) } else { BTreeMap::new() };
     for (service, short) in &kept_for_short {
         node.hints.announce_division(service, short);
     }
     let quarantine = node.quarantine_version.load(Ordering::Relaxed);
     let (holder, peers, cores) = (node.holder.clone(), node.settings.listen.peers, node.settings.cores());
     let sent = node.now();
-    let beat = Beat { holder, peers, cores, up_ms: sent, kept_for_short, quarantine };
-    let change =
-        Change { puts: vec![(Key::new(TABLE, &node.settings.name), encode(&beat))], ..Change::default() };
+    let heartbeat = Heartbeat { holder, peers, cores, up_ms: sent, kept_for_short, quarantine };
+    let change = Change {
+        puts: vec![(Key::new(TABLE, &node.settings.name), encode(&heartbeat))],
+        ..Change::default()
+    };
     match node.rows.commit(&change).await {
         Ok(_) => {
-            let lasts_ms = period(node) * MISSED / 2;
+            let lasts_ms = heartbeat_interval_ms(node) * MAX_MISSED_HEARTBEATS / 2;
             node.places().roster.beat(sent, node.now(), lasts_ms, members.interval_ms);
         }
         Err(error) => log::warn!("fleet: event=heartbeat-failed {error}"),
     }
 }
 
-/// Takes the list in as the one by which this gateway takes its part of what upstreams bear while they warm up: with all rows, since
-/// one that seems gone may live on behind a cut.
-fn enrol<W: Wire, S: Rows>(node: &Node<W, S>, page: &Page, asked: u64, interval_ms: u64) {
+/// Updates the list that determines this gateway's part of the requests which upstreams accept while they
+/// warm up or name a limit. It contains all rows: a gateway that seems gone may be running on the other side
+/// of a network partition.
+fn update_roster<W: Wire, S: Rows>(node: &Node<W, S>, page: &Page, requested: u64, interval_ms: u64) {
     let own = &node.settings.name;
     let row = page.records.iter().find(|record| record.name == *own);
-    let up_ms = row.map(|row| decode::<Beat>(row).map_or(0, |beat| beat.up_ms));
+    let up_ms = row.map(|row| decode::<Heartbeat>(row).map_or(0, |heartbeat| heartbeat.up_ms));
     let listed = page.records.iter().map(|record| record.name.as_str());
-    node.places().roster.read(own, listed, up_ms, asked, interval_ms);
+    node.places().roster.read(own, listed, up_ms, requested, interval_ms);
 }
 
-/// Divides the engines anew between long and short work.
-fn divide<W: Wire, S: Rows>(node: &Node<W, S>) -> BTreeMap<String, Vec<String>> {
+/// Updates the division of the engines between long and short requests. Returns those that are reserved for
+/// short ones.
+fn divide_engines<W: Wire, S: Rows>(node: &Node<W, S>) -> BTreeMap<String, Vec<String>> {
     let mut places = node.places();
     let divisions = places.divide(node.now()).filter(|(_, short)| !short.is_empty());
     divisions.map(|(service, short)| (service.to_owned(), short.to_vec())).collect()
 }
 
-/// Says good-bye, so that nobody waits for this gateway's heartbeats.
+/// Deletes this gateway's heartbeat row, so that the others don't wait for its heartbeats.
 pub(crate) async fn deregister<W: Wire, S: Rows>(node: &Node<W, S>) {
     node.places().roster.leave();
     let change = Change { drops: vec![Key::new(TABLE, &node.settings.name)], ..Change::default() };
@@ -169,8 +178,9 @@
     }
 }
 
-/// Takes in the heartbeats, counts the fleet, and names those that are gone.
-fn look<W: Wire, S: Rows>(
+/// Applies the heartbeats that were read: updates the size of the fleet and the peers. The first gateway gets
+/// the names of those that are gone, the others get none.
+fn update_members<W: Wire, S: Rows>(
     node: &Node<W, S>,
     members: &mut Members,
     page: &Page,
@@ -179,8 +189,9 @@
     let now = node.now();
     node.fleet_read_ms.store(now.max(1), Ordering::Relaxed);
     let seen = &mut members.seen;
-    if members.read.replace(now).is_some_and(|read| now.saturating_sub(read) > gone_after / 2) {
-        // This gateway was cut off or stood still: what it missed then says nothing of the others.
+    if members.read_at.replace(now).is_some_and(|read_at| now.saturating_sub(read_at) > gone_after / 2) {
+        // This gateway was cut off or suspended, so the heartbeats that it missed don't mean that the others
+        // are gone.
         seen.values_mut().for_each(|seen| seen.at = now);
     }
     for record in &page.records {
@@ -199,22 +210,25 @@
     }
     node.metrics.fleet_gateways.set(others as i64 + 1);
     let alive = |name: &str| name != own && seen.get(name).is_some_and(is_alive);
-    let beats = page.records.iter().filter(|record| alive(&record.name));
+    let heartbeats = page.records.iter().filter(|record| alive(&record.name));
     let peer = |record: &Record| {
-        let Beat { peers: address, cores, quarantine, .. } = decode(record)?;
+        let Heartbeat { peers: address, cores, quarantine, .. } = decode(record)?;
         crate::quarantine::observe_version(node, quarantine);
         Some(Peer { name: record.name.clone(), address, cores })
     };
-    let peers: Vec<Peer> = beats.filter_map(peer).collect();
+    let peers: Vec<Peer> = heartbeats.filter_map(peer).collect();
     node.set_peers(&peers);
-    // One gateway looks after those that are gone: the first by name of those alive.
+    // The first gateway by name of those alive removes those that are gone.
     let first = seen.iter().filter(|(_, seen)| is_alive(seen)).map(|(name, _)| name).min();
     let was_first = std::mem::replace(&mut members.is_first, first == Some(own));
     node.is_first.store(members.is_first, Ordering::Relaxed);
-    let beat = first.and_then(|first| page.records.iter().find(|record| record.name == *first));
-    // One that becomes the first goes on from what the one before decided, be it its own earlier process.
-    if let Some(beat) = beat.filter(|_| !(was_first && members.is_first)).and_then(decode::<Beat>) {
-        beat.kept_for_short.iter().for_each(|(service, short)| node.apply_division(service, short));
+    let heartbeat = first.and_then(|first| page.records.iter().find(|record| record.name == *first));
+    // A gateway that becomes the first starts from the decision of the one before, which may be its own
+    // earlier process.
+    if let Some(heartbeat) =
+        heartbeat.filter(|_| !(was_first && members.is_first)).and_then(decode::<Heartbeat>)
+    {
+        heartbeat.kept_for_short.iter().for_each(|(service, short)| node.apply_division(service, short));
     }
     if !members.is_first {
         return vec![];
@@ -228,9 +242,10 @@
     gone
 }
 
-/// Forgets a gateway that is gone. Its accounts stay as they are: it may live on behind a cut, and all that it holds is
-/// its own to use until it settles, so closing them would free nothing and take its tokens out of use for good.
-async fn forget<W: Wire, S: Rows>(node: &Node<W, S>, name: &str) {
+/// Deletes the heartbeat row of a gateway that is gone. Its accounts are not closed. It may be running on the
+/// other side of a network partition, and may use what it holds until it settles. Closing them would free
+/// nothing, and its tokens could never be used again.
+async fn remove_gateway<W: Wire, S: Rows>(node: &Node<W, S>, name: &str) {
     let change = Change { drops: vec![Key::new(TABLE, name)], ..Change::default() };
     if let Err(error) = node.rows.commit(&change).await {
         log::warn!("fleet: event=not-forgotten gateway={name} {error}");
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! One gateway: what it knows, and what runs on it.
+//! The state of a gateway that its tasks share.
 
 use crate::failover::Failover;
 use crate::hints::Hints;
@@ -24,40 +24,47 @@
 use std::time::Duration;
 use store::rows::{Progress, Rows};
 
-/// Connections to one upstream that are left unused, as a share: routers learn of each other late.
-const CONNECTION_MARGIN: f64 = 0.9;
+/// The fraction of the connections that an upstream accepts which the gateways use together. The rest is a
+/// margin, since gateways learn late of new ones.
+const CONNECTION_FRACTION: f64 = 0.9;
 
-/// How many gateways there are thought to be until the list was read: too few would let one take all there is.
-const ASSUMED_FLEET: u64 = 8;
+/// The size of the fleet that is assumed until the list of gateways is read. With a smaller one, a single
+/// gateway could use up all that the fleet shares.
+const INITIAL_FLEET_SIZE: u64 = 8;
 
-/// Where a gateway is in its life.
+/// The phases of a gateway's life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub(crate) enum Phase {
-    /// It serves.
+    /// It accepts requests.
     Serving,
-    /// It is not ready any more, but still takes work until the balancer has noticed.
+    /// It reports that it is not ready, but accepts requests until the balancer has noticed.
     Leaving,
-    /// It takes no new work.
+    /// It accepts no new requests.
     Draining,
 }
 
-/// One gateway.
+/// The state of a gateway.
 pub(crate) struct Node<W: Wire, S: Rows> {
     pub settings: Settings,
-    /// The VM's name with the incarnation of this process.
+    /// The name of the VM and the incarnation of this process.
     pub holder: String,
     pub wire: W,
+    /// The store, with metrics of the calls.
     pub rows: MeteredRows<Failover<S>>,
-    /// The same without the counts.
+    /// The same store without metrics.
     pub failover: Failover<S>,
     pub pool: Pool,
     pub metrics: Metrics,
+    /// The number of gateways that are alive, this one included.
     pub fleet_size: Arc<AtomicU64>,
-    /// When the list of gateways was read last, in milliseconds since the process started; 0 if it was not yet.
+    /// When the list of gateways was last read, in milliseconds since the process started; 0 if it has not
+    /// been read.
     pub fleet_read_ms: AtomicU64,
-    /// Whether this gateway is the first by name of those alive: it does what only one should.
+    /// Whether this gateway is the first by name of those alive, which does the work that only one of them
+    /// should do.
     pub is_first: AtomicBool,
+    /// The number of open requests.
     pub open_requests: AtomicU64,
     pub load: Load,
     pub hints: Arc<Hints>,
@@ -65,13 +72,14 @@
     pub peer_reservations: Arc<PeerReservations>,
     /// Notified when a budget is opened.
     pub budget_opened: Event,
-    /// The newest version of the table of denied requests that was read; 0 if none is there.
+    /// The newest version of the table of denied requests that this gateway has read, or that another one has
+    /// named; 0 if the table is empty.
     pub quarantine_version: AtomicU64,
-    /// Notified when another gateway has read a newer one.
+    /// Notified when this gateway has written to that table, or another one has read a newer version of it.
     pub quarantine_changed: Event,
     pub clock: Clock,
     manifest: RwLock<Option<Arc<Manifest>>>,
-    /// How far the read of the next manifest has come.
+    /// The progress of the pending read of the manifest.
     manifest_progress: Mutex<Progress>,
     places: Mutex<Places>,
     quarantine: Mutex<Quarantine>,
@@ -79,8 +87,10 @@
     windows: Mutex<HashMap<String, Window>>,
     budgets: Mutex<HashMap<String, Arc<TeamBudget>>>,
     phase: AtomicU8,
-    note: async_channel::Sender<()>,
-    /// What the store's clock said, in milliseconds, and when that was heard.
+    /// Requests a new usage note.
+    note_requests: async_channel::Sender<()>,
+    /// The last known time of the store's clock, in milliseconds, and when it arrived on this gateway's
+    /// clock.
     store_clock: Mutex<Option<(u64, Duration)>>,
 }
 
@@ -90,7 +100,7 @@
         incarnation: u64,
         wire: W,
         rows: S,
-        note: async_channel::Sender<()>,
+        note_requests: async_channel::Sender<()>,
     ) -> Node<W, S> {
         let clock = Clock::default();
         let metrics = Metrics::new();
@@ -107,7 +117,7 @@
             pool: Pool::new(clock.clone()),
             clock,
             metrics,
-            fleet_size: Arc::new(AtomicU64::new(ASSUMED_FLEET)),
+            fleet_size: Arc::new(AtomicU64::new(INITIAL_FLEET_SIZE)),
             fleet_read_ms: AtomicU64::new(0),
             is_first: AtomicBool::new(false),
             open_requests: AtomicU64::new(0),
@@ -123,52 +133,59 @@
             windows: Mutex::default(),
             budgets: Mutex::default(),
             phase: AtomicU8::new(Phase::Serving as u8),
-            note,
+            note_requests,
             store_clock: Mutex::default(),
             settings,
         }
     }
 
-    /// Milliseconds since the process started, those included for which the VM was suspended.
+    /// Milliseconds since the process started, including the time for which the VM was suspended.
     pub(crate) fn now(&self) -> Millis {
         self.clock.now().as_millis() as Millis
     }
 
-    /// The same with the parts of a millisecond.
+    /// Like [`Node::now`], with fractions of a millisecond.
     pub(crate) fn now_exact(&self) -> f64 {
         self.clock.now().as_secs_f64() * 1_000.0
     }
 
-    /// Takes in what the store's clock said in an answer that came just now.
+    /// Records the time of the store's clock from an answer that has just arrived.
     pub(crate) fn set_store_clock(&self, now_ms: u64) {
-        *self.store_clock.lock().expect("the clock's lock") = Some((now_ms, self.clock.now()));
+        *self.store_clock.lock().expect("the clock's lock is not poisoned") =
+            Some((now_ms, self.clock.now()));
     }
 
-    /// A moment not after now, in milliseconds of the store's clock; 0 if it is not known yet.
+    /// A lower bound of the current time on the store's clock, in milliseconds; 0 if that clock is not known
+    /// yet.
     pub(crate) fn store_now(&self) -> u64 {
-        let clock = *self.store_clock.lock().expect("the clock's lock");
-        clock.map_or(0, |(now_ms, heard)| now_ms + self.clock.now().saturating_sub(heard).as_millis() as u64)
+        let clock = *self.store_clock.lock().expect("the clock's lock is not poisoned");
+        clock.map_or(0, |(now_ms, arrived)| {
+            now_ms + self.clock.now().saturating_sub(arrived).as_millis() as u64
+        })
     }
 
     pub(crate) fn manifest(&self) -> Option<Arc<Manifest>> {
-        self.manifest.read().expect("the manifest's lock").clone()
+        self.manifest.read().expect("the manifest's lock is not poisoned").clone()
     }
 
-    /// Takes in that the next manifest is being read.
+    /// Sets the progress of the pending read of the manifest.
     pub(crate) fn set_manifest_progress(&self, progress: &Progress) {
-        *self.manifest_progress.lock().expect("the read's lock") = progress.clone();
+        *self.manifest_progress.lock().expect("the progress lock is not poisoned") = progress.clone();
     }
 
-    /// Whether a newer manifest is on its way.
+    /// Whether a newer manifest is being received.
     pub(crate) fn is_receiving_manifest(&self) -> bool {
-        crate::watch::is_receiving_manifest(&self.manifest_progress.lock().expect("the read's lock"))
+        crate::watch::is_receiving_manifest(
+            &self.manifest_progress.lock().expect("the progress lock is not poisoned"),
+        )
     }
 
-    /// Puts a manifest in force, unless that or a later one is: `true` if it is now.
+    /// Puts a manifest into force unless the current one is of the same or a later version. Returns whether
+    /// it did.
     pub(crate) fn apply_manifest(&self, next: Manifest) -> bool {
         let next = Arc::new(next);
         {
-            let mut current = self.manifest.write().expect("the manifest's lock");
+            let mut current = self.manifest.write().expect("the manifest's lock is not poisoned");
             if current.as_ref().is_some_and(|current| current.version >= next.version) {
                 return false;
             }
@@ -189,14 +206,14 @@
     }
 
     pub(crate) fn places(&self) -> MutexGuard<'_, Places> {
-        self.places.lock().expect("the places' lock")
+        self.places.lock().expect("the places lock is not poisoned")
     }
 
     pub(crate) fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
-        self.quarantine.lock().expect("the quarantine's lock")
+        self.quarantine.lock().expect("the quarantine's lock is not poisoned")
     }
 
-    /// Follows the gateway that decides which engines of a service are kept for short work.
+    /// Adopts another gateway's decision which engines of a service are reserved for short requests.
     pub(crate) fn apply_division(&self, service: &str, short: &[String]) {
         if self.places().follow(service, short) {
             log::info!("upstream: event=divided service={service} kept-for-short={}", short.join(","));
@@ -204,34 +221,34 @@
     }
 
     pub(crate) fn listings(&self) -> MutexGuard<'_, HashMap<String, Listing>> {
-        self.listings.lock().expect("the listings' lock")
+        self.listings.lock().expect("the listings lock is not poisoned")
     }
 
     pub(crate) fn budgets(&self) -> MutexGuard<'_, HashMap<String, Arc<TeamBudget>>> {
-        self.budgets.lock().expect("the budgets' lock")
+        self.budgets.lock().expect("the budgets lock is not poisoned")
     }
 
-    /// The budget of a team, if something bounds it.
+    /// The budget of a team; `None` if its tokens are not limited. Opens the budget if it is not open yet.
     pub(crate) fn budget(&self, manifest: &Manifest, team: &Team) -> Option<Arc<TeamBudget>> {
         let level = Level { version: manifest.version, tokens: team.reserved? };
         let mut budgets = self.budgets();
         if let Some(budget) = budgets.get(&team.name) {
             return Some(budget.clone());
         }
-        let terms = BudgetOptions {
+        let options = BudgetOptions {
             holder: self.holder.clone(),
             fleet_size: self.fleet_size.clone(),
             owners: self.owners.owner_count(&team.name).unwrap_or(self.fleet_size()),
-            note_requests: self.note.clone(),
+            note_requests: self.note_requests.clone(),
             record_ms: self.settings.record_ms,
         };
-        let budget = TeamBudget::open(&self.rows, &team.name, level, terms);
+        let budget = TeamBudget::open(&self.rows, &team.name, level, options);
         budgets.insert(team.name.clone(), budget.clone());
         self.budget_opened.notify(usize::MAX);
         Some(budget)
     }
 
-    /// Takes in the other gateways that are alive, with where they listen for this one.
+    /// Sets the other gateways that are alive.
     pub(crate) fn set_peers(&self, peers: &[Peer]) {
         let addresses: Vec<SocketAddr> = peers.iter().map(|peer| peer.address).collect();
         self.failover.set_peers(&addresses);
@@ -243,7 +260,7 @@
         }
     }
 
-    /// Uses the window of repeats of a service.
+    /// Calls `act` with the retry window of a service and the current time.
     pub(crate) fn with_retry_window<T>(
         &self,
         service: &str,
@@ -251,7 +268,7 @@
     ) -> T {
         let now = self.now();
         let bounds = &self.settings.bounds;
-        let mut windows = self.windows.lock().expect("the windows' lock");
+        let mut windows = self.windows.lock().expect("the windows lock is not poisoned");
         if !windows.contains_key(service) {
             let terms = Terms {
                 ratio: bounds.retry_ratio,
@@ -265,14 +282,15 @@
         act(window, now)
     }
 
-    /// How many gateways share the upstreams and budgets, this one included.
+    /// The number of gateways that share the upstreams and budgets, this one included.
     pub(crate) fn fleet_size(&self) -> u64 {
         self.fleet_size.load(Ordering::Relaxed).max(1)
     }
 
-    /// Connections that this gateway may have to one upstream that takes `all`.
-    pub(crate) fn max_connections(&self, all: usize) -> usize {
-        let share = all as f64 * CONNECTION_MARGIN / self.fleet_size() as f64;
+    /// The number of connections that this gateway may open to an upstream which accepts `accepted` of them
+    /// from all gateways together. Each gateway may open at least two.
+    pub(crate) fn max_connections(&self, accepted: usize) -> usize {
+        let share = accepted as f64 * CONNECTION_FRACTION / self.fleet_size() as f64;
         (share as usize).max(2)
     }
 
@@ -288,9 +306,10 @@
         self.phase.store(phase as u8, Ordering::Relaxed);
     }
 
-    /// Whether the balancer may send callers here: a manifest and upstreams are known, and the VM bears its work.
+    /// Whether the balancer may send callers to this gateway: it is not stopping, it knows a manifest and
+    /// upstreams, and its VM is not overloaded.
     pub(crate) fn is_ready(&self) -> bool {
-        let is_informed = self.manifest().is_some() && !self.listings().is_empty();
-        self.phase() == Phase::Serving && is_informed && !self.load.is_shedding()
+        let is_configured = self.manifest().is_some() && !self.listings().is_empty();
+        self.phase() == Phase::Serving && is_configured && !self.load.is_shedding()
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,7 +1,8 @@
-//! Following the manifest and the list of upstreams in the store.
+//! Follows the manifest, the list of upstreams and the recalls in the store.
 //!
-//! Each is read whole once and then followed by its changes, also across an outage; it is read whole again if the store
-//! forgot the changes in between. A read may be older than what is known, so a row counts only if its version is newer.
+//! Each table is read in full once and followed by its changes from then on, also after an outage. It is read
+//! in full again if the store no longer has the changes in between. A read may return older rows than are
+//! known already, so a row is applied only if its version is newer.
 
 use crate::node::Node;
 use crate::ports::{Listing, Wire};
@@ -18,48 +19,54 @@
 use store::Error;
 use store::rows::{Feed, Page, Progress, Record, Rows, Since};
 
-/// How long one wait for changes lasts at the store: a broken connection is noticed this late at most.
-const WAIT_MS: u64 = 1_000;
-/// The pause after a call failed.
-const AGAIN: Duration = Duration::from_millis(100);
-/// The pause between two waits for changes for each gateway of the fleet, in milliseconds: changes come in series, and
-/// each wakes all of them. In a small fleet less than a call takes.
-const GATHER_SHARE_MS: u64 = 4;
-/// The longest such pause, in milliseconds: a small part of the time within which a leaving upstream gets no more work.
-const GATHER_MOST_MS: u64 = 300;
-/// The time within which an upstream whose entry lapsed while the store was away is listed again, in
-/// milliseconds: the platform's word for it.
-const RELIST_MS: Millis = 2_000;
-/// How long a vanished upstream is kept to see whether most of its service vanished with it, in milliseconds.
-const GATHER_MS: Millis = 250;
-/// The wait for changes while an upstream is being kept, in milliseconds.
-const GATHER_WAIT_MS: u64 = 50;
-/// Entries lapse together when the store was away; upstreams that leave do so a few at a time. From this part of
-/// a service on, vanished upstreams are taken to have lapsed.
-const LAPSED: f64 = 0.34;
+/// How long the store may hold a request for changes, in milliseconds. It bounds the time until a broken
+/// connection is noticed.
+const FEED_WAIT_MS: u64 = 1_000;
+/// The delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The delay after received changes before more are requested, per gateway of the fleet, in milliseconds.
+/// Changes come in bursts, and without the delay each one would wake all gateways. In a small fleet the delay
+/// is shorter than a call.
+const BATCH_DELAY_PER_GATEWAY_MS: u64 = 4;
+/// The longest such delay, in milliseconds: a small part of the time after which a leaving upstream must get
+/// no more requests.
+const MAX_BATCH_DELAY_MS: u64 = 300;
+/// The time after an outage of the store within which an upstream whose entry expired during it is listed
+/// again, in milliseconds, as guaranteed by the platform.
+const RELIST_PERIOD_MS: Millis = 2_000;
+/// How long a vanished upstream is kept to see whether a large part of its service vanished with it, in
+/// milliseconds.
+const VANISH_DECISION_MS: Millis = 250;
+/// Replaces [`FEED_WAIT_MS`] while a vanished upstream is kept.
+const VANISH_FEED_WAIT_MS: u64 = 50;
+/// If at least this fraction of a service vanished, the entries are assumed to have expired. After an outage
+/// of the store entries expire together, whereas upstreams leave a few at a time.
+const EXPIRED_RATIO: f64 = 0.34;
 
-/// Changes of the manifest that are shorter than this are read whatever they hold: 50 ms on a link of 10 Mbit/s, in bytes.
-const MANIFEST_LEAST: usize = 64 << 10;
-/// Changes of the manifest are read if they are shorter than this multiple of it: from two versions on the newest is read
-/// alone, since several of nearly 1 MB each take a small VM's link for seconds.
-const MANIFEST_MOST: f64 = 1.5;
-/// Bytes of an answer for each byte of a row in it: rows come in base64.
-const ENCODED: f64 = 4.0 / 3.0;
-/// An answer to a watch of which so many bytes came holds a change, in bytes: an empty one has a hundred.
-const CHANGE: u64 = 512;
+/// Changes of the manifest of up to this size are always read, in bytes: 50 ms on a link of 10 Mbit/s.
+const MIN_CHANGES_LIMIT: usize = 64 << 10;
+/// Larger changes are read only up to this multiple of the manifest's size. If they contain two or more
+/// versions, the table is read instead, which holds only the newest one: several versions of nearly 1 MB each
+/// occupy a small VM's link for seconds.
+const CHANGES_LIMIT_FACTOR: f64 = 1.5;
+/// The bytes of an answer per byte of a row: rows are encoded in base64.
+const BASE64_FACTOR: f64 = 4.0 / 3.0;
+/// An answer of at least this size contains a change, in bytes: an empty one has a hundred.
+const CHANGE_BYTES: u64 = 512;
 
-/// How a table is followed.
+/// The state of following a table.
 struct Follower {
     name: &'static str,
+    /// The version up to which changes are known; `None` if the table has to be read in full.
     after: Option<u64>,
-    /// The longest answer to a watch that is read, in bytes; the table is read whole if it would be longer.
-    most: usize,
+    /// The largest set of changes to receive, in bytes; the table is read in full if they are larger.
+    max_bytes: usize,
     lost_at: Option<Millis>,
     regained_at: Option<Millis>,
-    /// Whether no wait ended since the table was read whole.
+    /// Whether no changes have been received since the table was read in full.
     is_new: bool,
-    /// The pause before the next wait, so that changes which come together are read together.
-    pause: Option<Duration>,
+    /// The delay before the next call, so that a burst of changes is received at once.
+    delay: Option<Duration>,
 }
 
 impl Follower {
@@ -67,16 +74,16 @@
         Follower {
             name,
             after: None,
-            most: usize::MAX,
+            max_bytes: usize::MAX,
             lost_at: None,
             regained_at: None,
             is_new: false,
-            pause: None,
+            delay: None,
         }
     }
 
-    /// Takes in how a call ended.
-    fn note(&mut self, failure: Option<&Error>, now: Millis) {
+    /// Records the result of a call.
+    fn record(&mut self, failure: Option<&Error>, now: Millis) {
         match (failure, self.lost_at) {
             (Some(error), None) => {
                 log::warn!("store: event=lost watch={} {error}", self.name);
@@ -92,18 +99,19 @@
     }
 }
 
-/// What a step of a watch brought.
+/// The result of a step of following a table.
 enum Step {
     /// All rows of the table.
-    Whole(Page),
-    /// Rows that changed.
+    Full(Page),
+    /// The changed rows.
     Changes(Page),
-    /// The table has to be read whole, for this reason.
-    Start(&'static str),
-    /// Nothing: the call failed.
+    /// The table has to be read in full; the event to log.
+    Restart(&'static str),
+    /// The call failed.
     Failed,
 }
 
+/// Makes one call: reads the table in full, or waits for changes.
 async fn step<W: Wire, S: Rows>(
     node: &Node<W, S>,
     rows: &impl Rows,
@@ -111,54 +119,55 @@
     follower: &mut Follower,
     wait_ms: u64,
 ) -> Step {
-    if let Some(pause) = follower.pause.take() {
-        exec::sleep(pause).await;
+    if let Some(delay) = follower.delay.take() {
+        exec::sleep(delay).await;
     }
-    // What changed while the store was away is asked for at once. The whole is not read again by all gateways together.
+    // After an outage, changes are requested without waiting. The gateways don't all read the whole table at
+    // once.
     let wait_ms = if follower.lost_at.is_some() { 0 } else { wait_ms };
     let result = match follower.after {
-        None => rows.list(table, "").await.map(Step::Whole),
+        None => rows.list(table, "").await.map(Step::Full),
         Some(after) => {
-            let since = Since { after, wait_ms, most: follower.most };
+            let since = Since { after, wait_ms, most: follower.max_bytes };
             rows.feed(table, since).await.map(|feed| match feed {
                 Feed::Changes(page) => Step::Changes(page),
-                Feed::Lost => Step::Start("history-lost"),
-                Feed::Long => Step::Start("many-changes"),
+                Feed::Lost => Step::Restart("history-lost"),
+                Feed::Long => Step::Restart("many-changes"),
             })
         }
     };
-    follower.note(result.as_ref().err(), node.now());
-    if let Ok(Step::Whole(page) | Step::Changes(page)) = &result {
+    follower.record(result.as_ref().err(), node.now());
+    if let Ok(Step::Full(page) | Step::Changes(page)) = &result {
         node.set_store_clock(page.now_ms);
     }
     match result {
-        Ok(Step::Whole(page)) => {
+        Ok(Step::Full(page)) => {
             follower.after = Some(page.version);
             follower.is_new = true;
-            Step::Whole(page)
+            Step::Full(page)
         }
         Ok(Step::Changes(page)) => {
             follower.after = follower.after.max(Some(page.version));
             follower.is_new = false;
-            let gather = (node.fleet_size() * GATHER_SHARE_MS).min(GATHER_MOST_MS);
-            follower.pause = (!page.records.is_empty()).then(|| Duration::from_millis(gather));
+            let batch_delay_ms = (node.fleet_size() * BATCH_DELAY_PER_GATEWAY_MS).min(MAX_BATCH_DELAY_MS);
+            follower.delay = (!page.records.is_empty()).then(|| Duration::from_millis(batch_delay_ms));
             Step::Changes(page)
         }
-        Ok(Step::Start(reason)) => {
+        Ok(Step::Restart(reason)) => {
             log::warn!("store: event={reason} watch={} after={:?}", follower.name, follower.after);
             follower.after = None;
-            // A store that forgets at once would be read as fast as it answers.
-            follower.pause = follower.is_new.then_some(AGAIN);
-            Step::Start(reason)
+            // If the store loses its history at once, the table must not be read in a tight loop.
+            follower.delay = follower.is_new.then_some(RETRY_DELAY);
+            Step::Restart(reason)
         }
         Ok(Step::Failed) | Err(_) => {
-            exec::sleep(AGAIN).await;
+            exec::sleep(RETRY_DELAY).await;
             Step::Failed
         }
     }
 }
 
-/// Follows the manifest, and which data centres the operators evacuate.
+/// Follows the manifest, and the evacuations of data centres by operators.
 pub(crate) async fn follow_manifest<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     let mut follower = Follower::new("manifest");
     let mut evacuations = Evacuations::default();
@@ -166,36 +175,38 @@
         let (table, _) = node.wire.manifest_row();
         let progress = Progress::default();
         node.set_manifest_progress(&progress);
-        let found = step(&node, &node.rows.reporting(&progress), table, &mut follower, WAIT_MS).await;
+        let found = step(&node, &node.rows.reporting(&progress), table, &mut follower, FEED_WAIT_MS).await;
         match &found {
-            Step::Whole(page) => evacuations.take_whole(&node, page),
-            Step::Changes(page) => page.records.iter().for_each(|record| evacuations.take(&node, record)),
-            Step::Start(_) | Step::Failed => {}
+            Step::Full(page) => evacuations.apply_all(&node, page),
+            Step::Changes(page) => page.records.iter().for_each(|record| evacuations.apply(&node, record)),
+            Step::Restart(_) | Step::Failed => {}
         }
-        if let Step::Whole(page) | Step::Changes(page) = found {
-            let Some(bytes) = adopt_newest(&node, page) else { continue };
-            follower.most = MANIFEST_LEAST.max((bytes as f64 * ENCODED * MANIFEST_MOST) as usize);
+        if let Step::Full(page) | Step::Changes(page) = found {
+            let Some(bytes) = apply_newest_manifest(&node, page) else { continue };
+            follower.max_bytes =
+                MIN_CHANGES_LIMIT.max((bytes as f64 * BASE64_FACTOR * CHANGES_LIMIT_FACTOR) as usize);
         }
     }
 }
 
-/// Whether a newer manifest is on its way: what this gateway doesn't know, that one may allow.
+/// Whether `read` is receiving a newer manifest, which may allow what the current one does not know.
 pub(crate) fn is_receiving_manifest(read: &Progress) -> bool {
-    read.bytes() >= CHANGE
+    read.bytes() >= CHANGE_BYTES
 }
 
-/// Follows the other routers' calls for idle tokens.
+/// Follows the other gateways' recalls of idle tokens.
 pub(crate) async fn follow_recalls<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     let mut follower = Follower::new("recalls");
     loop {
         let opened = node.budget_opened.listen();
         if node.budgets().is_empty() {
-            // Who holds nothing has nothing to give back: in a large fleet that is nearly every gateway.
+            // Without budgets there is nothing to return. In a large fleet that is the case at nearly every
+            // gateway.
             follower.after = None;
             opened.await;
         }
-        // Calls made while this router was away are over, so a whole read only says where to go on.
-        let found = step(&node, &node.rows, RECALLS, &mut follower, WAIT_MS).await;
+        // A full read only gives the version to continue from: recalls made before it are obsolete.
+        let found = step(&node, &node.rows, RECALLS, &mut follower, FEED_WAIT_MS).await;
         let Step::Changes(page) = found else { continue };
         for record in &page.records {
             let Some(recall) = decode::<Recall>(record).filter(|recall| recall.holder != node.holder) else {
@@ -208,13 +219,13 @@
     }
 }
 
-/// Puts the newest manifest in force that can be read; its length in bytes.
-fn adopt_newest<W: Wire, S: Rows>(node: &Node<W, S>, mut page: Page) -> Option<usize> {
+/// Puts the newest valid manifest of a page into force. Returns its size in bytes, if there is one.
+fn apply_newest_manifest<W: Wire, S: Rows>(node: &Node<W, S>, mut page: Page) -> Option<usize> {
     page.records.sort_unstable_by_key(|record| Reverse(record.version));
-    page.records.iter().find_map(|record| adopt(node, record))
+    page.records.iter().find_map(|record| apply_manifest(node, record))
 }
 
-fn adopt<W: Wire, S: Rows>(node: &Node<W, S>, record: &Record) -> Option<usize> {
+fn apply_manifest<W: Wire, S: Rows>(node: &Node<W, S>, record: &Record) -> Option<usize> {
     let (_, name) = node.wire.manifest_row();
     let bytes = record.value.as_deref().filter(|_| record.name == name)?;
     let manifest = match node.wire.decode_manifest(bytes) {
@@ -235,32 +246,32 @@
     Some(bytes.len())
 }
 
-/// The versions of the rows by which operators evacuate data centres, deleted ones included.
+/// The versions of the rows with which operators evacuate data centres, including deleted rows.
 #[derive(Default)]
 struct Evacuations(HashMap<String, u64>);
 
 impl Evacuations {
-    /// Takes in all rows: a data centre whose row is missing is taken back, unless the read is stale.
-    fn take_whole<W: Wire, S: Rows>(&mut self, node: &Node<W, S>, page: &Page) {
+    /// Applies a full read of the table: a data centre without a row is restored, unless the read is stale.
+    fn apply_all<W: Wire, S: Rows>(&mut self, node: &Node<W, S>, page: &Page) {
         for record in &page.records {
-            self.take(node, record);
+            self.apply(node, record);
         }
         let newest = self.0.values().max().copied().unwrap_or(0);
         if page.version < newest {
             return;
         }
         let evacuated: Vec<String> = node.places().evacuated().map(str::to_owned).collect();
-        let named = |data_centre: &String| {
+        let is_listed = |data_centre: &String| {
             page.records
                 .iter()
                 .any(|record| node.wire.evacuated_data_centre(&record.name) == Some(data_centre))
         };
-        for data_centre in evacuated.iter().filter(|data_centre| !named(data_centre)) {
+        for data_centre in evacuated.iter().filter(|data_centre| !is_listed(data_centre)) {
             restore(node, data_centre, page.version);
         }
     }
 
-    fn take<W: Wire, S: Rows>(&mut self, node: &Node<W, S>, record: &Record) {
+    fn apply<W: Wire, S: Rows>(&mut self, node: &Node<W, S>, record: &Record) {
         let Some(data_centre) = node.wire.evacuated_data_centre(&record.name) else { return };
         let version = self.0.entry(record.name.clone()).or_default();
         if record.version <= *version {
@@ -268,7 +279,7 @@
         }
         *version = record.version;
         match record.value {
-            // Whatever the row holds, it asks for the evacuation.
+            // The row requests the evacuation whatever it contains.
             Some(_) => evacuate(node, data_centre, record.version),
             None => restore(node, data_centre, record.version),
         }
@@ -291,138 +302,153 @@
     }
 }
 
-/// What is known of the list of upstreams.
+/// The state of following the list of upstreams.
 #[derive(Default)]
-struct Known {
-    /// The version of each row, deleted ones included.
+struct UpstreamRows {
+    /// The version of each row, including deleted rows.
     versions: HashMap<String, u64>,
-    /// Upstreams that vanished, and when that is decided.
+    /// Upstreams that vanished but are still kept, and when to decide whether to remove them.
     vanished: HashMap<String, Millis>,
-    /// When the store was reached again after it was away.
+    /// When the store was reached again after the last outage.
     regained_at: Option<Millis>,
-    /// When the newest life of each upstream started, in milliseconds of its own clock.
+    /// The latest start of each upstream, in milliseconds of its own clock.
     started: HashMap<String, u64>,
-    /// Entries that name no upstream since they were last logged, and the first of them.
-    unfit: Option<(u64, String)>,
+    /// The number of malformed entries since they were last logged, and the first of them.
+    malformed: Option<(u64, String)>,
 }
 
 /// Follows the list of upstreams.
 pub(crate) async fn follow_upstreams<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     let mut follower = Follower::new("upstreams");
-    let mut known = Known::default();
+    let mut list = UpstreamRows::default();
     let mut writer = Writer::default();
     let start = snapshot::load_or_claim(&node).await;
-    let mut is_awaited = matches!(start, Start::ReadAndWrite);
+    // Whether this gateway claimed the snapshot, for which others that are starting may wait.
+    let mut must_write = matches!(start, Start::ReadAndWrite);
     if let Start::From(snapshot) = start {
         log::info!("upstream: event=started-from-snapshot version={}", snapshot.version);
         follower.after = Some(snapshot.version);
         snapshot.upstreams.into_iter().for_each(|upstream| {
-            known.versions.insert(upstream.name.clone(), upstream.version);
-            begin(&node, &mut known, &upstream.name, upstream.version, upstream.listing);
+            list.versions.insert(upstream.name.clone(), upstream.version);
+            list_upstream(&node, &mut list, &upstream.name, upstream.version, upstream.listing);
         });
     }
     loop {
-        let wait_ms = if known.vanished.is_empty() { WAIT_MS } else { GATHER_WAIT_MS };
+        let wait_ms = if list.vanished.is_empty() { FEED_WAIT_MS } else { VANISH_FEED_WAIT_MS };
         let found = step(&node, &node.rows, node.wire.upstreams_table(), &mut follower, wait_ms).await;
-        known.regained_at = follower.regained_at;
+        list.regained_at = follower.regained_at;
         match found {
-            Step::Whole(page) => take_whole(&node, &mut known, &page),
-            Step::Changes(page) => page.records.iter().for_each(|record| take(&node, &mut known, record)),
-            Step::Start(_) | Step::Failed => {}
+            Step::Full(page) => apply_list(&node, &mut list, &page),
+            Step::Changes(page) => page.records.iter().for_each(|record| apply_row(&node, &mut list, record)),
+            Step::Restart(_) | Step::Failed => {}
         }
-        decide(&node, &mut known);
-        if let Some((count, first)) = known.unfit.take() {
+        resolve_vanished(&node, &mut list);
+        if let Some((count, first)) = list.malformed.take() {
             log::warn!("upstream: event=unfit entries={count} {first}");
         }
         node.metrics.upstreams.set(node.listings().len() as i64);
-        let writes = is_awaited || node.is_first.load(Ordering::Relaxed);
-        if let Some(version) = follower.after.filter(|_| writes && writer.is_due(node.now())) {
-            is_awaited = false;
-            write(&node, &known, &mut writer, version);
+        let should_write = must_write || node.is_first.load(Ordering::Relaxed);
+        if let Some(version) = follower.after.filter(|_| should_write && writer.is_due(node.now())) {
+            must_write = false;
+            write_snapshot(&node, &list, &mut writer, version);
         }
     }
 }
 
-/// Writes a snapshot of the list. What vanished and may have lapsed is not in it: its row is not there.
-fn write<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, known: &Known, writer: &mut Writer, version: u64) {
+/// Writes a snapshot of the list. It omits vanished upstreams that are still kept, since they have no row.
+fn write_snapshot<W: Wire, S: Rows>(
+    node: &Arc<Node<W, S>>,
+    list: &UpstreamRows,
+    writer: &mut Writer,
+    version: u64,
+) {
     let listings = node.listings().clone();
-    let rows = listings.iter().filter(|(name, _)| !known.vanished.contains_key(*name));
+    let rows = listings.iter().filter(|(name, _)| !list.vanished.contains_key(*name));
     let versions = rows.map(|(name, listing)| {
-        let version = known.versions.get(name).copied().unwrap_or(0);
+        let version = list.versions.get(name).copied().unwrap_or(0);
         (name.as_str(), version, listing)
     });
     writer.write(node, version, versions);
 }
 
-/// Takes in the whole list: what is missing from one that is not stale has vanished.
-fn take_whole<W: Wire, S: Rows>(node: &Node<W, S>, known: &mut Known, page: &Page) {
-    let newest = known.versions.values().max().copied().unwrap_or(0);
+/// Applies a full read of the list. Unless the read is stale, upstreams that are missing from it have
+/// vanished.
+fn apply_list<W: Wire, S: Rows>(node: &Node<W, S>, list: &mut UpstreamRows, page: &Page) {
+    let newest = list.versions.values().max().copied().unwrap_or(0);
     for record in &page.records {
-        take(node, known, record);
+        apply_row(node, list, record);
     }
     if page.version < newest {
         log::warn!("upstream: event=stale-list version={} known={newest}", page.version);
         return;
     }
-    let listed = |name: &String| page.records.iter().any(|record| record.name == *name);
-    let missing: Vec<String> = node.listings().keys().filter(|name| !listed(name)).cloned().collect();
+    let is_listed = |name: &String| page.records.iter().any(|record| record.name == *name);
+    let missing: Vec<String> = node.listings().keys().filter(|name| !is_listed(name)).cloned().collect();
     for name in missing {
-        vanish(node, known, &name);
+        vanish(node, list, &name);
     }
 }
 
-fn take<W: Wire, S: Rows>(node: &Node<W, S>, known: &mut Known, record: &Record) {
-    let version = known.versions.entry(record.name.clone()).or_default();
+fn apply_row<W: Wire, S: Rows>(node: &Node<W, S>, list: &mut UpstreamRows, record: &Record) {
+    let version = list.versions.entry(record.name.clone()).or_default();
     if record.version <= *version {
         return;
     }
     *version = record.version;
     let Some(bytes) = record.value.as_deref() else {
-        return vanish(node, known, &record.name);
+        return vanish(node, list, &record.name);
     };
     match node.wire.decode_listing(bytes) {
-        Ok(listing) => begin(node, known, &record.name, record.version, listing),
+        Ok(listing) => list_upstream(node, list, &record.name, record.version, listing),
         Err(error) => {
-            // Another writer's entry names no upstream, also in the place of one that did.
+            // A malformed entry, which another writer may have stored, names no upstream. The upstream that
+            // the row named before is removed.
             node.metrics.entries_unfit.inc();
             let first = || (0, format!("upstream={} {error}", record.name));
-            known.unfit.get_or_insert_with(first).0 += 1;
-            known.vanished.remove(&record.name);
-            remove(node, known, &record.name);
+            list.malformed.get_or_insert_with(first).0 += 1;
+            list.vanished.remove(&record.name);
+            remove(node, list, &record.name);
         }
     }
 }
 
-/// Takes in an upstream's entry, unless an earlier life of it wrote it late.
-fn begin<W: Wire, S: Rows>(node: &Node<W, S>, known: &mut Known, name: &str, version: u64, listing: Listing) {
+/// Applies an upstream's entry, unless it is a late one from before the upstream's latest start.
+fn list_upstream<W: Wire, S: Rows>(
+    node: &Node<W, S>,
+    list: &mut UpstreamRows,
+    name: &str,
+    version: u64,
+    listing: Listing,
+) {
     if let Some(started) = listing.started {
-        let newest = known.started.entry(name.to_owned()).or_insert(started);
+        let newest = list.started.entry(name.to_owned()).or_insert(started);
         if started < *newest {
             log::warn!("upstream: event=late-entry upstream={name} started={started} newest={newest}",);
             return;
         }
         if started > std::mem::replace(newest, started) && node.listings().remove(name).is_some() {
-            // What was learned of its earlier life is not true of this one.
+            // What was measured before the restart no longer holds.
             node.places().forget(name);
             log::info!("upstream: event=started-again upstream={name} started={started}");
         }
     }
-    known.vanished.remove(name);
-    set(node, name, version, listing);
+    list.vanished.remove(name);
+    set_listing(node, name, version, listing);
 }
 
-fn set<W: Wire, S: Rows>(node: &Node<W, S>, name: &str, version: u64, listing: Listing) {
+fn set_listing<W: Wire, S: Rows>(node: &Node<W, S>, name: &str, version: u64, listing: Listing) {
     let mut listings = node.listings();
     let warmup_ms = listing.warmup_ms;
     let known = listings.get(name);
     if known == Some(&listing) {
         return;
     }
-    // An upstream that warms up tells the time that is left with each of its heartbeats.
-    let is_old =
+    // While an upstream warms up, each of its heartbeats updates the remaining time. That alone is not
+    // logged.
+    let is_same =
         known.is_some_and(|known| *known == Listing { warmup_ms: known.warmup_ms, ..listing.clone() });
-    let is_warmer = known.is_some_and(|known| warmup_ms <= known.warmup_ms);
-    if !(is_old && is_warmer) {
+    let is_warming_up = known.is_some_and(|known| warmup_ms <= known.warmup_ms);
+    if !(is_same && is_warming_up) {
         log::info!(
             "upstream: event=listed upstream={name} service={} address={} leaving={} warmup-ms={warmup_ms} row-version={version}",
             listing.service,
@@ -442,52 +468,55 @@
     listings.insert(name.to_owned(), listing);
 }
 
-/// Whether entries may have lapsed only because the store was away a moment ago.
-fn relisting_until(known: &Known, now: Millis) -> Option<Millis> {
-    known.regained_at.map(|at| at + RELIST_MS).filter(|until| now < *until)
+/// The time until which expired entries may still be listed again after an outage of the store; `None` if
+/// that time is over, or if there was no outage.
+fn relisting_until(list: &UpstreamRows, now: Millis) -> Option<Millis> {
+    list.regained_at.map(|at| at + RELIST_PERIOD_MS).filter(|until| now < *until)
 }
 
-fn vanish<W: Wire, S: Rows>(node: &Node<W, S>, known: &mut Known, name: &str) {
+/// Removes an upstream without an entry, or keeps it for now if the entry may have expired during an outage.
+fn vanish<W: Wire, S: Rows>(node: &Node<W, S>, list: &mut UpstreamRows, name: &str) {
     let now = node.now();
-    match relisting_until(known, now) {
+    match relisting_until(list, now) {
         Some(_) => {
-            known.vanished.entry(name.to_owned()).or_insert(now + GATHER_MS);
+            list.vanished.entry(name.to_owned()).or_insert(now + VANISH_DECISION_MS);
         }
-        None => remove(node, known, name),
+        None => remove(node, list, name),
     }
 }
 
-/// Decides on the upstreams that vanished a moment ago.
-fn decide<W: Wire, S: Rows>(node: &Node<W, S>, known: &mut Known) {
+/// Decides whether vanished upstreams are removed, or kept until expired entries must be listed again.
+fn resolve_vanished<W: Wire, S: Rows>(node: &Node<W, S>, list: &mut UpstreamRows) {
     let now = node.now();
     let due: Vec<String> =
-        known.vanished.iter().filter(|(_, until)| **until <= now).map(|(name, _)| name.clone()).collect();
+        list.vanished.iter().filter(|(_, until)| **until <= now).map(|(name, _)| name.clone()).collect();
     for name in due {
-        match relisting_until(known, now).filter(|_| has_lapsed(node, known, &name)) {
+        match relisting_until(list, now).filter(|_| has_expired(node, list, &name)) {
             Some(until) => {
-                known.vanished.insert(name, until);
+                list.vanished.insert(name, until);
             }
             None => {
-                known.vanished.remove(&name);
-                remove(node, known, &name);
+                list.vanished.remove(&name);
+                remove(node, list, &name);
             }
         }
     }
 }
 
-/// Whether so many upstreams of its service vanished that their entries must have lapsed together.
-fn has_lapsed<W: Wire, S: Rows>(node: &Node<W, S>, known: &Known, name: &str) -> bool {
+/// Whether the entry of a vanished upstream has expired, as indicated by how many upstreams of its service
+/// vanished.
+fn has_expired<W: Wire, S: Rows>(node: &Node<W, S>, list: &UpstreamRows, name: &str) -> bool {
     let listings = node.listings();
     let Some(service) = listings.get(name).map(|listing| &listing.service) else { return false };
     let of_service = || listings.iter().filter(|(_, listing)| listing.service == *service);
-    let vanished = of_service().filter(|(name, _)| known.vanished.contains_key(*name)).count();
-    vanished > 1 && vanished as f64 >= of_service().count() as f64 * LAPSED
+    let vanished = of_service().filter(|(name, _)| list.vanished.contains_key(*name)).count();
+    vanished > 1 && vanished as f64 >= of_service().count() as f64 * EXPIRED_RATIO
 }
 
-fn remove<W: Wire, S: Rows>(node: &Node<W, S>, known: &Known, name: &str) {
+fn remove<W: Wire, S: Rows>(node: &Node<W, S>, list: &UpstreamRows, name: &str) {
     if node.listings().remove(name).is_some() {
         node.places().remove(name);
-        let version = known.versions.get(name).copied().unwrap_or(0);
+        let version = list.versions.get(name).copied().unwrap_or(0);
         log::info!("upstream: event=gone upstream={name} row-version={version}");
     }
 }
--- a/crates/gateway/tests/unit/failover.rs
+++ b/crates/gateway/tests/unit/failover.rs
@@ -141,7 +141,7 @@
         assert!(matches!(failover.feed("things", since).await, Ok(Feed::Changes(_))));
 
         cut.set(Way::Open);
-        exec::sleep(3 * PROBE).await;
+        exec::sleep(3 * PROBE_INTERVAL).await;
         assert!(!failover.lock().is_unreachable(), "the direct way is taken again");
     });
 }
@@ -197,7 +197,7 @@
         assert!(failover.list("things", "").await.is_err());
         assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
         first.set(Way::Open);
-        exec::sleep(3 * PROBE + HELPER_BACKOFF).await;
+        exec::sleep(3 * PROBE_INTERVAL + HELPER_BACKOFF).await;
         assert!(failover.list("things", "").await.is_ok(), "the other helps once it can");
     });
 }
@@ -224,15 +224,16 @@
     exec::block_on(async {
         let path = Path::new(&TableRows::default());
         let (helping, _handle) = helper(&path).await;
-        let places: Vec<Place<'_>> = (0..HELPED).map(|_| Place::take(&helping.helped)).collect();
-        let call = || helping.make("list", &"things", path.list("things", ""));
+        let slots: Vec<CallSlot<'_>> =
+            (0..MAX_FORWARDED_CALLS).map(|_| CallSlot::take(&helping.forwarded)).collect();
+        let call = || helping.make_for_peer("list", &"things", path.list("things", ""));
         let answer = async |response: Response<Body>| {
             let bytes =
                 http_body_util::BodyExt::collect(response.into_body()).await.expect("a body").to_bytes();
             bincode::deserialize::<Answer<Page>>(&bytes).expect("an answer")
         };
         assert!(matches!(answer(call().await).await, Answer::Away));
-        drop(places);
+        drop(slots);
         assert!(matches!(answer(call().await).await, Answer::Done(_)));
     });
 }
--- a/crates/gateway/tests/unit/members.rs
+++ b/crates/gateway/tests/unit/members.rs
@@ -32,7 +32,7 @@
         let (node, mut members) = (router(), Members::default());
         for version in 1..=8 {
             let beats = page(&[("vm-1", version), ("vm-2", 1)]);
-            let gone = look(&node, &mut members, &beats, GONE_AFTER);
+            let gone = update_members(&node, &mut members, &beats, GONE_AFTER);
             if !gone.is_empty() {
                 assert_eq!(gone, ["vm-2"]);
                 return assert_eq!(node.fleet_size(), 1);
@@ -50,10 +50,10 @@
         let (node, mut members) = (router(), Members::default());
         assert_eq!(node.fleet_size(), 8, "nothing was read yet");
         let beats = [("vm-1", 1), ("vm-2", 2), ("vm-3", 3)];
-        assert!(look(&node, &mut members, &page(&beats), GONE_AFTER).is_empty());
+        assert!(update_members(&node, &mut members, &page(&beats), GONE_AFTER).is_empty());
         // No read succeeds for longer than it takes to be gone, and nobody can write meanwhile.
         pause(GONE_AFTER + 200).await;
-        assert!(look(&node, &mut members, &page(&beats), GONE_AFTER).is_empty());
+        assert!(update_members(&node, &mut members, &page(&beats), GONE_AFTER).is_empty());
         assert_eq!(node.fleet_size(), 3);
     });
 }
@@ -73,7 +73,7 @@
         let held = budget.token_counts().available;
         assert!(held > 10_000, "{held} tokens are at hand");
 
-        forget(&other, "vm-1").await;
+        remove_gateway(&other, "vm-1").await;
         budget
             .reserve(held, Duration::from_secs(2))
             .await
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -57,7 +57,7 @@
         until(&node, "all are listed", 6).await;
         outage(&rows, || rows.drop_row(TABLE, "", "engine-2")).await;
         let ms = until(&node, "one is gone", 5).await;
-        assert!(ms < RELIST_MS, "it took {ms} ms, as long as a lapsed entry");
+        assert!(ms < RELIST_PERIOD_MS, "it took {ms} ms, as long as a lapsed entry");
     });
 }
 
@@ -95,15 +95,15 @@
 fn an_older_row_never_replaces_a_newer_one() {
     let rows = TableRows::default();
     let node = node("vm-1", 1, &rows);
-    let mut known = Known::default();
+    let mut list = UpstreamRows::default();
     let record = |version, value: &str| Record {
         table: TABLE.to_owned(),
         name: "engine-0".to_owned(),
         version,
         value: Some(value.as_bytes().to_vec()),
     };
-    take(&node, &mut known, &record(7, "narrator 127.0.0.1:9000 leaving"));
-    take(&node, &mut known, &record(5, "narrator 127.0.0.1:9000"));
+    apply_row(&node, &mut list, &record(7, "narrator 127.0.0.1:9000 leaving"));
+    apply_row(&node, &mut list, &record(5, "narrator 127.0.0.1:9000"));
     assert!(node.listings()["engine-0"].leaving);
 }
 
@@ -221,11 +221,11 @@
         version,
         value: value.map(|value| value.as_bytes().to_vec()),
     };
-    evacuations.take(&node, &record(7, Some("{}")));
-    evacuations.take(&node, &record(5, None));
-    evacuations.take_whole(&node, &Page { version: 6, ..Page::default() });
+    evacuations.apply(&node, &record(7, Some("{}")));
+    evacuations.apply(&node, &record(5, None));
+    evacuations.apply_all(&node, &Page { version: 6, ..Page::default() });
     assert!(node.places().evacuated().eq(["here"]), "a stale read");
-    evacuations.take_whole(&node, &Page { version: 8, ..Page::default() });
+    evacuations.apply_all(&node, &Page { version: 8, ..Page::default() });
     assert_eq!(node.places().evacuated().count(), 0);
 }
 
