--- a/crates/gateway/src/denials.rs
+++ b/crates/gateway/src/denials.rs
@@ -1,7 +1,7 @@
-//! Denied requests as the store keeps them, for gateways that start and for operators.
+//! The table of denied requests in the store, for starting gateways and for operators.
 //!
-//! A row's key is the request's fingerprint. A row whose denial was lifted stays until its time is over, so that gateways which read the table
-//! late learn of it too.
+//! The key of a row is the fingerprint of the request. The row of a lifted denial is kept until it expires,
+//! so that gateways which read the table late learn of it too.
 
 use crate::table::{decode, encode};
 use route::Millis;
@@ -15,9 +15,10 @@
 /// A row of the table.
 #[derive(Debug, Deserialize, Serialize)]
 struct Entry {
-    /// Upstreams that ended under the request.
+    /// The upstreams that the request terminated.
     upstreams: Upstreams,
-    /// When it was denied or lifted, or came again, in milliseconds of the store's clock.
+    /// When the request was last denied or sent again, or when its denial was lifted, in milliseconds of the
+    /// store's clock.
     since_ms: u64,
     /// Whether an operator lifted the denial.
     #[serde(default)]
@@ -27,37 +28,38 @@
 /// A denied request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Denial {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Upstreams that ended under it.
+    /// The upstreams that it terminated.
     pub upstreams: Upstreams,
-    /// How long it is still denied, in milliseconds.
+    /// The remaining time of the denial, in milliseconds.
     pub left_ms: Millis,
     /// Whether an operator lifted the denial.
     pub is_lifted: bool,
 }
 
-/// The table as of one moment.
+/// The table at one moment.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     pub denials: Vec<Denial>,
-    /// Rows whose time is over.
-    over: Vec<String>,
-    /// The newest version of a row; 0 if there is none.
+    /// The keys of expired rows.
+    expired: Vec<String>,
+    /// The newest version of a row; 0 if the table is empty.
     pub version: u64,
+    /// The time of the store's clock.
     now_ms: u64,
 }
 
-/// Selector denials an operator lifts.
+/// Selects the denials to lift.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Selector {
     /// All of them.
     All,
-    /// That of one request.
+    /// The denial of one request.
     One(Fingerprint),
 }
 
-/// The requests that are denied.
+/// Lists the denied requests, without those whose denial was lifted.
 ///
 /// # Errors
 /// Fails if the store can't be read.
@@ -66,17 +68,17 @@
     Ok(table.denials.into_iter().filter(|denial| !denial.is_lifted).collect())
 }
 
-/// Lifts denials; those that were. Gateways follow within seconds.
+/// Lifts denials, and returns the lifted ones. The gateways learn of them within seconds.
 ///
 /// # Errors
 /// Fails if the store can't be read or written.
-pub async fn lift(rows: &impl Rows, which: Selector) -> Result<Vec<Denial>, store::Error> {
+pub async fn lift(rows: &impl Rows, selector: Selector) -> Result<Vec<Denial>, store::Error> {
     let table = read(rows).await?;
-    let is_named =
-        |denial: &Denial| matches!(which, Selector::All) || which == Selector::One(denial.fingerprint);
-    let is_meant = |denial: &Denial| !denial.is_lifted && is_named(denial);
-    let (now_ms, over) = (table.now_ms, table.over);
-    let lifted: Vec<Denial> = table.denials.into_iter().filter(is_meant).collect();
+    let is_selected =
+        |denial: &Denial| matches!(selector, Selector::All) || selector == Selector::One(denial.fingerprint);
+    let can_be_lifted = |denial: &Denial| !denial.is_lifted && is_selected(denial);
+    let (now_ms, expired) = (table.now_ms, table.expired);
+    let lifted: Vec<Denial> = table.denials.into_iter().filter(can_be_lifted).collect();
     if lifted.is_empty() {
         return Ok(lifted);
     }
@@ -85,7 +87,7 @@
         (key(denial.fingerprint.to_string()), encode(&entry))
     };
     let puts = lifted.iter().map(put).collect();
-    write(rows, puts, over).await?;
+    write(rows, puts, expired).await?;
     Ok(lifted)
 }
 
@@ -94,7 +96,7 @@
     Ok(table(&rows.list(TABLE, "").await?))
 }
 
-/// Writes a denied request's row, and takes away those whose time is over.
+/// Writes the row of a denied request, and deletes expired rows.
 pub(crate) async fn insert(
     rows: &impl Rows,
     fingerprint: Fingerprint,
@@ -102,12 +104,16 @@
 ) -> Result<(), store::Error> {
     let table = read(rows).await?;
     let entry = Entry { upstreams: upstreams.clone(), since_ms: table.now_ms, lifted: false };
-    write(rows, vec![(key(fingerprint.to_string()), encode(&entry))], table.over).await
+    write(rows, vec![(key(fingerprint.to_string()), encode(&entry))], table.expired).await
 }
 
-async fn write(rows: &impl Rows, puts: Vec<(Key, Vec<u8>)>, over: Vec<String>) -> Result<(), store::Error> {
+async fn write(
+    rows: &impl Rows,
+    puts: Vec<(Key, Vec<u8>)>,
+    expired: Vec<String>,
+) -> Result<(), store::Error> {
     let is_written = |name: &String| puts.iter().any(|(key, _)| key.name == *name);
-    let drops = over.into_iter().filter(|name| !is_written(name)).map(key).collect();
+    let drops = expired.into_iter().filter(|name| !is_written(name)).map(key).collect();
     rows.commit(&Change { puts, drops, ..Change::default() }).await?;
     Ok(())
 }
@@ -122,7 +128,7 @@
         table.version = table.version.max(record.version);
         match denial(record, page.now_ms) {
             Some(denial) if denial.left_ms > 0 => table.denials.push(denial),
-            Some(_) => table.over.push(record.name.clone()),
+            Some(_) => table.expired.push(record.name.clone()),
             None => {}
         }
     }
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -1,8 +1,11 @@
-//! Tells the other gateways of dispatches, of upstreams that leave or limit requests, and of requests that end upstreams.
-//! Otherwise prompts would queue behind those of other gateways, and further upstreams would run such requests and end.
+//! Datagrams between gateways, called hints. They announce dispatches, upstreams that leave or limit
+//! requests, and requests that terminate upstreams. Without them, prompts would queue behind those of other
+//! gateways, and requests that terminate upstreams would be dispatched to more of them.
 //!
-//! A hint is a datagram. One that tells of a dispatch and is lost costs a worse choice, nothing else; the other kinds are sent more than once,
-//! and denials are kept in the store as well. One that can't be read, comes from a stranger or comes again changes nothing and is counted.
+//! Datagrams can be lost. If a dispatch is not announced, other gateways make a worse choice of upstream, and
+//! nothing else happens. Hints of leaving upstreams, limits and quarantined requests are sent several times,
+//! and denials are also written to the store. A datagram that is malformed, repeated, out of order or from an
+//! unknown sender is dropped and counted.
 
 use crate::node::Node;
 use crate::ports::Wire;
@@ -18,71 +21,76 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use store::rows::Rows;
 
-/// The largest datagram, in bytes: one that every link carries whole.
-const LARGEST: usize = 1_400;
-/// What each datagram begins with: gateways of another version say other things.
+/// The largest datagram, in bytes. It is not fragmented on any link.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// The first byte of each datagram. Gateways of other versions use other formats.
 const VERSION: u8 = 2;
-/// Datagrams that are sent in a row before other work goes on: about a fifth of a millisecond.
-const IN_A_ROW: usize = 16;
-/// The pauses before each datagram that is sent more than once.
+/// The number of datagrams that are sent before other tasks get a turn: about a fifth of a millisecond.
+const SEND_BURST: usize = 16;
+/// The delays before each transmission of a hint that is sent more than once.
 pub(crate) const SEND_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(50), Duration::from_millis(700)];
 
-/// What one gateway tells the others.
+/// A message to other gateways.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 enum Hint {
     /// A dispatch.
     Dispatch { upstream: String, told: Told },
-    /// The engines of a service that are kept for short work, from the gateway that decides on it.
+    /// The engines of a service that are reserved for short requests, from the gateway that decides on them.
     Division { service: String, short: Vec<String> },
-    /// What is known of a request that ends upstreams.
+    /// What is known about a request that terminates upstreams.
     Quarantine(Word),
-    /// An upstream said in an answer that it leaves: the life that started then, if it says when.
+    /// An upstream announced in an answer that it is leaving. `started` is when it started, if it reports
+    /// that.
     Leaving { upstream: String, started: Option<u64> },
-    /// The request limit that an upstream names in its answers, in requests per second from all gateways together; `None`
-    /// if it no longer names one.
+    /// The request limit that an upstream names in its answers, in requests per second from all gateways
+    /// together; `None` if it no longer names one. `started` is when the upstream started, if it reports
+    /// that.
     Limit { upstream: String, started: Option<u64>, per_s: Option<f64> },
 }
 
-/// A hint with its place among those of its sender.
+/// A hint with its sequence number.
 #[derive(Debug, Deserialize, Serialize)]
-struct Numbered {
-    /// Rises with each of a sender's hints, also across its restarts.
+struct NumberedHint {
+    /// Increases with each hint of a sender, also across its restarts.
     number: u64,
     hint: Hint,
 }
 
-/// Why a datagram changes nothing.
+/// The reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Unfit {
-    /// It is cut, altered, or of another version.
-    Unreadable,
-    /// No gateway that is known to be alive sent it.
-    Stranger,
-    /// It came before, or after a later one.
-    Old,
+enum Rejection {
+    /// It is truncated, altered, or of another version.
+    Malformed,
+    /// Its sender is not among the gateways that are known to be alive.
+    UnknownSender,
+    /// It was received already, or after a later one.
+    Stale,
 }
 
-impl Unfit {
+impl Rejection {
     fn name(self) -> &'static str {
         match self {
-            Unfit::Unreadable => "unreadable",
-            Unfit::Stranger => "stranger",
-            Unfit::Old => "old",
+            Rejection::Malformed => "unreadable",
+            Rejection::UnknownSender => "stranger",
+            Rejection::Stale => "old",
         }
     }
 }
 
-/// Where hints go, and where they come from.
+/// Sends hints, and keeps the state that is needed to accept those of other gateways.
 #[derive(Debug)]
 pub(crate) struct Hints {
     socket: Mutex<Option<Arc<UdpSocket>>>,
     peers: Mutex<Arc<Vec<SocketAddr>>>,
+    /// Selects the dispatches to announce.
     teller: Mutex<Teller>,
+    /// Limits which hints about quarantined requests go to all gateways.
     bound: Mutex<Bound>,
-    next: Mutex<u64>,
-    /// The last number of each peer.
-    heard: Mutex<HashMap<SocketAddr, u64>>,
+    /// The number of the last hint that was sent.
+    last_sent: Mutex<u64>,
+    /// The number of the last hint that was accepted from each peer.
+    last_received: Mutex<HashMap<SocketAddr, u64>>,
 }
 
 impl Default for Hints {
@@ -93,58 +101,59 @@
             peers: Mutex::default(),
             teller: Mutex::default(),
             bound: Mutex::default(),
-            next: Mutex::new(started),
-            heard: Mutex::default(),
+            last_sent: Mutex::new(started),
+            last_received: Mutex::default(),
         }
     }
 }
 
 impl Hints {
-    /// Takes in where the other gateways listen.
+    /// Sets the addresses of the other gateways.
     pub(crate) fn set_peers(&self, peers: Vec<SocketAddr>) {
-        let mut heard = self.heard.lock().expect("the numbers' lock");
-        let known = |peer: &SocketAddr| (*peer, heard.get(peer).copied().unwrap_or(0));
-        *heard = peers.iter().map(known).collect();
-        drop(heard);
-        *self.peers.lock().expect("the peers' lock") = Arc::new(peers);
+        let mut last_received = self.last_received.lock().expect("the numbers lock is not poisoned");
+        let known = |peer: &SocketAddr| (*peer, last_received.get(peer).copied().unwrap_or(0));
+        *last_received = peers.iter().map(known).collect();
+        drop(last_received);
+        *self.peers.lock().expect("the peers lock is not poisoned") = Arc::new(peers);
     }
 
-    /// Whether the others are told of a dispatch whose engine has to read so many tokens.
+    /// Whether to announce a dispatch whose engine has to process this many prompt tokens.
     pub(crate) fn should_announce(&self, unread: u32, now: Millis) -> bool {
-        let gateways = self.peers.lock().expect("the peers' lock").len() as u64 + 1;
-        self.teller.lock().expect("the teller's lock").tells(unread, gateways, now)
+        let gateways = self.peers.lock().expect("the peers lock is not poisoned").len() as u64 + 1;
+        self.teller.lock().expect("the teller lock is not poisoned").tells(unread, gateways, now)
     }
 
-    /// Tells the others of the dispatch of a prompt.
+    /// Announces the dispatch of a prompt to all gateways.
     pub(crate) fn announce_dispatch(&self, upstream: &str, told: Told) {
         self.send(Hint::Dispatch { upstream: upstream.to_owned(), told });
     }
 
-    /// Tells the others which engines of a service are kept for short work. They learn it from a heartbeat too, but that
-    /// takes the store.
+    /// Announces to all gateways which engines of a service are reserved for short requests. Heartbeats tell
+    /// them too, but only while the store can be reached.
     pub(crate) fn announce_division(&self, service: &str, short: &[String]) {
         self.send(Hint::Division { service: service.to_owned(), short: short.to_vec() });
     }
 
-    /// Tells of a request that ends upstreams.
+    /// Announces what is known about a request that terminates upstreams, to all gateways or a few of them.
     pub(crate) fn announce_quarantine(self: &Arc<Hints>, word: Word, now: Millis) {
-        let gateways = self.peers.lock().expect("the peers' lock").len() + 1;
-        let audience = self.bound.lock().expect("the bound's lock").audience(&word, gateways, now);
-        self.repeat(Hint::Quarantine(word), audience);
+        let gateways = self.peers.lock().expect("the peers lock is not poisoned").len() + 1;
+        let audience =
+            self.bound.lock().expect("the bound lock is not poisoned").audience(&word, gateways, now);
+        self.send_repeatedly(Hint::Quarantine(word), audience);
     }
 
-    /// Tells all that an upstream leaves.
+    /// Announces to all gateways that an upstream is leaving.
     pub(crate) fn announce_leaving(self: &Arc<Hints>, upstream: &str, started: Option<u64>) {
-        self.repeat(Hint::Leaving { upstream: upstream.to_owned(), started }, Audience::All);
+        self.send_repeatedly(Hint::Leaving { upstream: upstream.to_owned(), started }, Audience::All);
     }
 
-    /// Tells all gateways once of an upstream's request limit, or of its end.
+    /// Announces an upstream's request limit, or that it has ended, to all gateways. The hint is sent once.
     pub(crate) fn announce_limit(&self, upstream: &str, started: Option<u64>, per_s: Option<f64>) {
         self.send(Hint::Limit { upstream: upstream.to_owned(), started, per_s });
     }
 
-    /// Sends a hint more than once, since datagrams are lost.
-    fn repeat(self: &Arc<Hints>, hint: Hint, audience: Audience) {
+    /// Sends a hint after each of [`SEND_DELAYS`], since datagrams can be lost.
+    fn send_repeatedly(self: &Arc<Hints>, hint: Hint, audience: Audience) {
         let hints = self.clone();
         net::exec::spawn(async move {
             for pause in SEND_DELAYS {
@@ -155,8 +164,9 @@
         .detach();
     }
 
+    /// The addresses of an audience.
     fn audience(&self, audience: Audience) -> Arc<Vec<SocketAddr>> {
-        let peers = self.peers.lock().expect("the peers' lock").clone();
+        let peers = self.peers.lock().expect("the peers lock is not poisoned").clone();
         match audience {
             Audience::All => peers,
             Audience::Deciders(fingerprint) => {
@@ -165,19 +175,21 @@
         }
     }
 
-    /// Sends a hint to all peers.
+    /// Sends a hint to all gateways.
     fn send(&self, hint: Hint) {
         self.send_to(hint, self.audience(Audience::All));
     }
 
-    /// Sends a hint, beside other work: no request waits for that.
+    /// Sends a hint in the background, so that no request waits for it.
     fn send_to(&self, hint: Hint, peers: Arc<Vec<SocketAddr>>) {
-        let Some(socket) = self.socket.lock().expect("the socket's lock").clone() else { return };
+        let Some(socket) = self.socket.lock().expect("the socket lock is not poisoned").clone() else {
+            return;
+        };
         if peers.is_empty() {
             return;
         }
-        let bytes = encode(&Numbered { number: self.number(), hint });
-        if bytes.len() > LARGEST {
+        let bytes = encode(&NumberedHint { number: self.next_number(), hint });
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             log::debug!("hints: event=too-large bytes={}", bytes.len());
             return;
         }
@@ -186,7 +198,7 @@
                 if let Err(error) = socket.send_to(&bytes, peer).await {
                     log::debug!("hints: event=not-sent peer={peer} error=\"{error}\"");
                 }
-                if index % IN_A_ROW == IN_A_ROW - 1 {
+                if index % SEND_BURST == SEND_BURST - 1 {
                     smol::future::yield_now().await;
                 }
             }
@@ -194,19 +206,20 @@
         .detach();
     }
 
-    fn number(&self) -> u64 {
-        let mut next = self.next.lock().expect("the number's lock");
-        *next += 1;
-        *next
+    /// The number of the next hint.
+    fn next_number(&self) -> u64 {
+        let mut last_sent = self.last_sent.lock().expect("the number lock is not poisoned");
+        *last_sent += 1;
+        *last_sent
     }
 
-    /// Decides whether a datagram counts.
-    fn accept(&self, bytes: &[u8], from: SocketAddr) -> Result<Hint, Unfit> {
-        let mut heard = self.heard.lock().expect("the numbers' lock");
-        let last = heard.get_mut(&from).ok_or(Unfit::Stranger)?;
-        let Numbered { number, hint } = decode(bytes)?;
+    /// Decodes a datagram, unless it has to be dropped.
+    fn accept(&self, bytes: &[u8], from: SocketAddr) -> Result<Hint, Rejection> {
+        let mut last_received = self.last_received.lock().expect("the numbers lock is not poisoned");
+        let last = last_received.get_mut(&from).ok_or(Rejection::UnknownSender)?;
+        let NumberedHint { number, hint } = decode(bytes)?;
         if number <= *last {
-            return Err(Unfit::Old);
+            return Err(Rejection::Stale);
         }
         *last = number;
         Ok(hint)
@@ -214,30 +227,30 @@
 }
 
 fn options() -> impl Options {
-    bincode::DefaultOptions::new().with_limit(LARGEST as u64)
+    bincode::DefaultOptions::new().with_limit(MAX_DATAGRAM_BYTES as u64)
 }
 
-fn encode(hint: &Numbered) -> Vec<u8> {
+fn encode(hint: &NumberedHint) -> Vec<u8> {
     let mut bytes = vec![VERSION];
-    let encoded = bincode::DefaultOptions::new().serialize(hint).expect("a hint is plain data");
+    let encoded = bincode::DefaultOptions::new().serialize(hint).expect("hints serialize to bincode");
     bytes.extend(encoded);
     bytes
 }
 
-fn decode(bytes: &[u8]) -> Result<Numbered, Unfit> {
-    let [VERSION, rest @ ..] = bytes else { return Err(Unfit::Unreadable) };
-    let hint: Numbered = options().deserialize(rest).map_err(|_| Unfit::Unreadable)?;
+fn decode(bytes: &[u8]) -> Result<NumberedHint, Rejection> {
+    let [VERSION, rest @ ..] = bytes else { return Err(Rejection::Malformed) };
+    let hint: NumberedHint = options().deserialize(rest).map_err(|_| Rejection::Malformed)?;
     match &hint.hint {
-        Hint::Dispatch { told, .. } if !told.is_sound() => Err(Unfit::Unreadable),
-        Hint::Quarantine(word) if !word.is_sound() => Err(Unfit::Unreadable),
+        Hint::Dispatch { told, .. } if !told.is_sound() => Err(Rejection::Malformed),
+        Hint::Quarantine(word) if !word.is_sound() => Err(Rejection::Malformed),
         Hint::Limit { per_s: Some(per_s), .. } if !(per_s.is_finite() && *per_s >= 0.0) => {
-            Err(Unfit::Unreadable)
+            Err(Rejection::Malformed)
         }
         _ => Ok(hint),
     }
 }
 
-/// Listens for the others' hints.
+/// Receives the hints of other gateways.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     let address = node.settings.listen.peers;
     let socket = match UdpSocket::bind(address).await {
@@ -247,8 +260,8 @@
             return;
         }
     };
-    *node.hints.socket.lock().expect("the socket's lock") = Some(socket.clone());
-    let mut buffer = [0; LARGEST];
+    *node.hints.socket.lock().expect("the socket lock is not poisoned") = Some(socket.clone());
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => match node.hints.accept(&buffer[..length], from) {
@@ -259,9 +272,9 @@
                 Ok(Hint::Limit { upstream, started, per_s }) => {
                     crate::limits::hear(&node, &upstream, started, per_s);
                 }
-                Err(unfit) => {
-                    log::debug!("hints: event=dropped reason={} from={from}", unfit.name());
-                    node.metrics.hints_dropped.with_label_values(&[unfit.name()]).inc();
+                Err(rejection) => {
+                    log::debug!("hints: event=dropped reason={} from={from}", rejection.name());
+                    node.metrics.hints_dropped.with_label_values(&[rejection.name()]).inc();
                 }
             },
             Err(error) => {
@@ -272,10 +285,10 @@
     }
 }
 
-/// Takes in that an upstream leaves, if it is the life that is listed here.
+/// Records that an upstream is leaving, unless the hint refers to another start than the listed one.
 fn hear_leaving<W: Wire, S: Rows>(node: &Node<W, S>, upstream: &str, started: Option<u64>) {
-    let is_meant = node.listings().get(upstream).is_some_and(|listing| listing.started == started);
-    if is_meant && node.places().leave(upstream, node.now()) {
+    let is_listed = node.listings().get(upstream).is_some_and(|listing| listing.started == started);
+    if is_listed && node.places().leave(upstream, node.now()) {
         log::info!("upstream: event=leaves upstream={upstream} told-by=gateway");
     }
 }
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -1,9 +1,11 @@
-//! A snapshot of the list of upstreams in the store, from which gateways start.
+//! A compact snapshot of the list of upstreams in the store, which gateways read when they start.
 //!
-//! Read row by row, the list takes some 400 bytes for each upstream, once for each gateway that starts: when all of them start, bytes that
-//! grow with the product of both. So one gateway keeps a snapshot of what it knows, which takes a tenth of that. The others start
-//! from it and follow the changes since, as after a read of the whole list, so one that is not the newest costs only those
-//! changes. It is never waited for while the list is followed, and the list is read whole where no fresh snapshot is to be had.
+//! The rows of the list take about 400 bytes per upstream. If all gateways start together and each reads the
+//! rows, the transferred bytes grow with the product of gateways and upstreams. Therefore one gateway
+//! maintains a snapshot, which is about a tenth of that size. The others start from it and follow the changes
+//! since, as they would after reading the list, so an older snapshot only costs more changes. No gateway
+//! waits for a snapshot once it follows the list, and one that finds no fresh snapshot reads the list in
+//! full.
 
 use crate::node::Node;
 use crate::ports::{Listing, Wire};
@@ -19,44 +21,46 @@
 
 /// The table of snapshots.
 const TABLE: &str = "snapshots";
-/// The partition of the one of the list of upstreams.
+/// The partition of the snapshot of the list of upstreams.
 const PART: &str = "upstreams";
-/// The key of the row that says what the snapshot holds.
+/// The key of the row that describes the snapshot.
 const HEAD: &str = "head";
-/// The key of the row of the gateway that is about to write one.
+/// The key of the row of the gateway that is about to write a snapshot.
 const CLAIM: &str = "claim";
-/// What the keys of the snapshot's bytes begin with.
+/// The prefix of the keys of the rows that contain the snapshot's bytes.
 const CHUNK: &str = "chunk/";
-/// Bytes of one such row: a row holds 64 KiB.
+/// The size of such a row, in bytes. The store limits rows to 64 KiB.
 const CHUNK_BYTES: usize = 48 << 10;
-/// The longest snapshot that is written, in bytes: one transaction takes 1 MB, encoded.
-const LONGEST: usize = 640 << 10;
-/// Time between two snapshots, in milliseconds.
-const REFRESH_MS: u64 = 6_000;
-/// The age up to which one is used, in milliseconds: the store forgets changes after some 20 s.
-const FRESH_MS: u64 = 14_000;
-/// How long one that is about to be written is waited for, in milliseconds: a read of a long list on a small VM's link.
-const CLAIM_MS: u64 = 2_000;
-/// The pause between two looks for it.
-const LOOK: Duration = Duration::from_millis(300);
+/// The largest snapshot, in bytes. The store limits transactions to 1 MB, including the encoding.
+const MAX_SNAPSHOT_BYTES: usize = 640 << 10;
+/// The interval between snapshots, in milliseconds.
+const WRITE_INTERVAL_MS: u64 = 6_000;
+/// The age up to which a snapshot is used, in milliseconds. The store discards changes after about 20 s.
+const MAX_AGE_MS: u64 = 14_000;
+/// How long other gateways wait for a claimed snapshot, in milliseconds: the time of reading a long list over
+/// a small VM's link.
+const CLAIM_TIMEOUT_MS: u64 = 2_000;
+/// The interval at which a waiting gateway checks for the snapshot.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What the snapshot holds.
+/// The row that describes the snapshot.
 #[derive(Debug, Deserialize, Serialize)]
 struct Head {
-    /// The changes of the list after this version are to be followed.
+    /// The version of the list that the snapshot represents. Readers follow the changes after it.
     version: u64,
     /// When it was written, in milliseconds of the store's clock.
     written_ms: u64,
     /// The hash of its bytes.
     edition: u64,
+    /// The number of rows that contain its bytes.
     chunks: usize,
 }
 
-/// A gateway that is about to write a snapshot.
+/// The row of the gateway that is about to write a snapshot.
 #[derive(Debug, Deserialize, Serialize)]
 struct Claim {
     holder: String,
-    /// In milliseconds of the store's clock.
+    /// When it claimed the snapshot, in milliseconds of the store's clock.
     at_ms: u64,
 }
 
@@ -64,9 +68,9 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct Entry {
     name: String,
-    /// Of its row.
+    /// The version of its row.
     version: u64,
-    /// The places of its service and its data centre among the names.
+    /// The indexes of its service and its data centre in [`Contents::names`].
     service: usize,
     data_centre: usize,
     address: SocketAddr,
@@ -76,15 +80,17 @@
     warmup_ms: u64,
 }
 
+/// The contents of a snapshot.
 #[derive(Debug, Default, Deserialize, Serialize)]
-struct Body {
-    /// Names that entries share.
+struct Contents {
+    /// The names of services and data centres, to which entries refer by index.
     names: Vec<String>,
     entries: Vec<Entry>,
 }
 
-impl Body {
-    fn name(&mut self, name: &str) -> usize {
+impl Contents {
+    /// The index of a name, which is added if it is new.
+    fn name_index(&mut self, name: &str) -> usize {
         self.names.iter().position(|known| known == name).unwrap_or_else(|| {
             self.names.push(name.to_owned());
             self.names.len() - 1
@@ -92,7 +98,8 @@
     }
 
     fn add(&mut self, name: &str, version: u64, listing: &Listing) {
-        let (service, data_centre) = (self.name(&listing.service), self.name(&listing.data_centre));
+        let (service, data_centre) =
+            (self.name_index(&listing.service), self.name_index(&listing.data_centre));
         let Listing { address, slots, leaving, started, warmup_ms, .. } = *listing;
         let name = name.to_owned();
         let entry =
@@ -102,7 +109,7 @@
 
     /// The upstreams; `None` if an entry names what is not there.
     fn upstreams(self) -> Option<Vec<Upstream>> {
-        let Body { names, entries } = self;
+        let Contents { names, entries } = self;
         let upstream = |entry: Entry| {
             let Entry { name, version, address, slots, leaving, started, warmup_ms, .. } = entry;
             let service = names.get(entry.service)?.clone();
@@ -114,54 +121,57 @@
     }
 }
 
-/// An upstream of the list.
+/// An upstream in the list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Upstream {
     pub name: String,
-    /// Of its row.
+    /// The version of its row.
     pub version: u64,
     pub listing: Listing,
 }
 
-/// The list of upstreams as of one version.
+/// The list of upstreams at one version.
 #[derive(Debug)]
 pub(crate) struct Snapshot {
     pub version: u64,
     pub upstreams: Vec<Upstream>,
 }
 
-/// What a gateway that starts should do.
+/// How a gateway starts to follow the list.
 pub(crate) enum Start {
-    /// Start from this.
-    From(Snapshot),
-    /// Read the whole list, and write a snapshot of it: others wait for that.
+    /// From a snapshot.
+    FromSnapshot(Snapshot),
+    /// By reading the list in full. The gateway has claimed the snapshot and must write it, since others may
+    /// wait for it.
     ReadAndWrite,
-    /// Read the whole list.
+    /// By reading the list in full.
     Read,
 }
 
-/// Looks for a fresh snapshot.
+/// Loads a fresh snapshot, or waits for one that another gateway has claimed. If there is neither, this
+/// gateway claims it.
 pub(crate) async fn load_or_claim<W: Wire, S: Rows>(node: &Node<W, S>) -> Start {
-    let until = node.now() + CLAIM_MS;
+    let until = node.now() + CLAIM_TIMEOUT_MS;
     while node.now() < until {
         let Ok(page) = node.rows.list(TABLE, PART).await else { return Start::Read };
         node.set_store_clock(page.now_ms);
         if let Some(snapshot) = read(&page) {
-            return Start::From(snapshot);
+            return Start::FromSnapshot(snapshot);
         }
         let claim = page.records.iter().find(|record| record.name == CLAIM);
         let is_claimed =
-            claim.and_then(decode::<Claim>).is_some_and(|claim| page.now_ms < claim.at_ms + CLAIM_MS);
-        if !is_claimed && self::claim(node, claim.map_or(0, |row| row.version), page.now_ms).await {
+            claim.and_then(decode::<Claim>).is_some_and(|claim| page.now_ms < claim.at_ms + CLAIM_TIMEOUT_MS);
+        if !is_claimed && try_claim(node, claim.map_or(0, |row| row.version), page.now_ms).await {
             return Start::ReadAndWrite;
         }
-        exec::sleep(LOOK).await;
+        exec::sleep(POLL_INTERVAL).await;
     }
     log::warn!("upstream: event=no-snapshot reason=\"nobody wrote one in time\"");
     Start::Read
 }
 
-async fn claim<W: Wire, S: Rows>(node: &Node<W, S>, version: u64, at_ms: u64) -> bool {
+/// Claims the snapshot, unless the row of the claim no longer has this version. Returns whether it did.
+async fn try_claim<W: Wire, S: Rows>(node: &Node<W, S>, version: u64, at_ms: u64) -> bool {
     let key = Key::new(TABLE, CLAIM);
     let claim = encode(&Claim { holder: node.holder.clone(), at_ms });
     let change = Change {
@@ -173,68 +183,72 @@
     matches!(node.rows.commit(&change).await, Ok(Commit::Applied(_)))
 }
 
-/// The snapshot, if it is fresh and whole.
+/// Decodes the snapshot, if it is fresh and complete.
 fn read(page: &Page) -> Option<Snapshot> {
     let row = |name: &str| page.records.iter().find(|record| record.name == name);
     let head: Head = decode(row(HEAD)?)?;
-    if page.now_ms > head.written_ms + FRESH_MS {
+    if page.now_ms > head.written_ms + MAX_AGE_MS {
         return None;
     }
     let mut bytes = vec![];
     for index in 0..head.chunks {
-        bytes.extend_from_slice(row(&chunk(index))?.value.as_deref()?);
+        bytes.extend_from_slice(row(&chunk_key(index))?.value.as_deref()?);
     }
     if xxh3_64(&bytes) != head.edition {
         log::warn!("upstream: event=no-snapshot reason=\"its rows are of different ones\"");
         return None;
     }
-    let body: Body = options().deserialize(&bytes).ok()?;
-    Some(Snapshot { version: head.version, upstreams: body.upstreams()? })
+    let contents: Contents = options().deserialize(&bytes).ok()?;
+    Some(Snapshot { version: head.version, upstreams: contents.upstreams()? })
 }
 
-fn chunk(index: usize) -> String {
+fn chunk_key(index: usize) -> String {
     format!("{CHUNK}{index}")
 }
 
 fn options() -> impl Options {
-    bincode::DefaultOptions::new().with_limit(LONGEST as u64)
+    bincode::DefaultOptions::new().with_limit(MAX_SNAPSHOT_BYTES as u64)
 }
 
-/// Keeps the snapshot, at the one gateway that does so.
+/// Writes snapshots periodically.
 #[derive(Debug, Default)]
 pub(crate) struct Writer {
-    next: u64,
-    /// The edition whose bytes this gateway wrote last, and the version of its head.
+    /// When the next snapshot is due, in milliseconds since the process started.
+    next_ms: u64,
+    /// The edition that this gateway wrote last, and the version of the row that describes it.
     written: Arc<std::sync::Mutex<Option<(u64, u64)>>>,
 }
 
 impl Writer {
     /// Whether a snapshot is due.
     pub(crate) fn is_due(&self, now: u64) -> bool {
-        now >= self.next
+        now >= self.next_ms
     }
 
-    /// Writes what is known as of a version of the list, beside other work. Bytes that did not change are not written again.
+    /// Writes a snapshot of the list at `version` in the background. Unchanged bytes are not written again.
     pub(crate) fn write<'a, W: Wire, S: Rows>(
         &mut self,
         node: &Arc<Node<W, S>>,
         version: u64,
         upstreams: impl Iterator<Item = (&'a str, u64, &'a Listing)>,
     ) {
-        self.next = node.now() + REFRESH_MS;
-        let mut body = Body::default();
-        upstreams.for_each(|(name, version, listing)| body.add(name, version, listing));
-        body.entries.sort_unstable_by(|left, right| left.name.cmp(&right.name));
-        let bytes = match options().serialize(&body) {
+        self.next_ms = node.now() + WRITE_INTERVAL_MS;
+        let mut contents = Contents::default();
+        upstreams.for_each(|(name, version, listing)| contents.add(name, version, listing));
+        contents.entries.sort_unstable_by(|left, right| left.name.cmp(&right.name));
+        let bytes = match options().serialize(&contents) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::warn!("upstream: event=no-snapshot entries={} error=\"{error}\"", body.entries.len());
+                log::warn!(
+                    "upstream: event=no-snapshot entries={} error=\"{error}\"",
+                    contents.entries.len()
+                );
                 return;
             }
         };
         let (node, written) = (node.clone(), self.written.clone());
         exec::spawn(async move {
-            let before = *written.lock().expect("the writer's lock");
+            let before = *written.lock().expect("the lock is not poisoned");
             let (change, edition) = change(version, node.store_now(), &bytes, before);
             let result = node.rows.commit(&change).await;
             let now_written = match &result {
@@ -247,24 +261,27 @@
                 change.puts.len(),
                 now_written.is_some()
             );
-            *written.lock().expect("the writer's lock") = now_written;
+            *written.lock().expect("the lock is not poisoned") = now_written;
         })
         .detach();
     }
 }
 
-/// The change that writes a snapshot, and its edition.
+/// The change that writes a snapshot, and the snapshot's edition. `before` is the last edition that this
+/// gateway wrote, and the version of the row that describes it.
 fn change(version: u64, written_ms: u64, bytes: &[u8], before: Option<(u64, u64)>) -> (Change, u64) {
     let edition = xxh3_64(bytes);
     let chunks = bytes.len().div_ceil(CHUNK_BYTES);
     let head = (Key::new(TABLE, HEAD), encode(&Head { version, written_ms, edition, chunks }));
     let mut change = Change { part: PART.to_owned(), puts: vec![head], ..Change::default() };
     match before {
-        // Another gateway may have written others since.
+        // Only that row is written, on condition that no other gateway has written a snapshot since.
         Some((same, version)) if same == edition => change.checks.push((Key::new(TABLE, HEAD), version)),
         _ => {
             let rows = bytes.chunks(CHUNK_BYTES).enumerate();
-            change.puts.extend(rows.map(|(index, bytes)| (Key::new(TABLE, chunk(index)), bytes.to_vec())));
+            change
+                .puts
+                .extend(rows.map(|(index, bytes)| (Key::new(TABLE, chunk_key(index)), bytes.to_vec())));
         }
     }
     (change, edition)
--- a/crates/gateway/src/store_metrics.rs
+++ b/crates/gateway/src/store_metrics.rs
@@ -1,4 +1,4 @@
-//! The store with every call counted and timed, and with the bytes of its rows.
+//! Metrics of the calls to the store: their number, their time, and the bytes of the rows.
 
 use crate::metrics::Metrics;
 use prometheus::{Histogram, IntCounterVec};
@@ -6,7 +6,7 @@
 use store::rows::{Change, Commit, Feed, Page, Progress, Rows, Since};
 use store::{Error, Fault};
 
-/// A store whose calls are counted.
+/// A store that updates the metrics with each call.
 #[derive(Clone, Debug)]
 pub(crate) struct MeteredRows<S> {
     rows: S,
@@ -34,12 +34,13 @@
         self.calls.with_label_values(&[step, table, outcome]).inc();
     }
 
-    /// Counts the keys and values of rows, as they are before the store's encoding.
+    /// Counts the bytes of the keys and values of rows, before the store encodes them.
     fn count_bytes(&self, step: &str, table: &str, bytes: usize) {
         self.bytes.with_label_values(&[step, table]).inc_by(bytes as u64);
     }
 }
 
+/// The bytes of the keys and values of a page.
 fn page_bytes(page: &Page) -> usize {
     page.records.iter().map(|row| row.name.len() + row.value.as_ref().map_or(0, Vec::len)).sum()
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -325,7 +325,7 @@
     let start = snapshot::load_or_claim(&node).await;
     // Whether this gateway claimed the snapshot, for which others that are starting may wait.
     let mut must_write = matches!(start, Start::ReadAndWrite);
-    if let Start::From(snapshot) = start {
+    if let Start::FromSnapshot(snapshot) = start {
         log::info!("upstream: event=started-from-snapshot version={}", snapshot.version);
         follower.after = Some(snapshot.version);
         snapshot.upstreams.into_iter().for_each(|upstream| {
--- a/crates/gateway/tests/unit/hints.rs
+++ b/crates/gateway/tests/unit/hints.rs
@@ -21,7 +21,7 @@
 }
 
 fn datagram(number: u64) -> Vec<u8> {
-    encode(&Numbered { number, hint: Hint::Dispatch { upstream: "i-7f3a91c2".to_owned(), told: told() } })
+    encode(&NumberedHint { number, hint: Hint::Dispatch { upstream: "i-7f3a91c2".to_owned(), told: told() } })
 }
 
 fn listening() -> Hints {
@@ -44,28 +44,32 @@
 fn a_repeated_or_late_datagram_changes_nothing() {
     let hints = listening();
     assert!(hints.accept(&datagram(5), address(1)).is_ok());
-    assert_eq!(hints.accept(&datagram(5), address(1)).err(), Some(Unfit::Old));
-    assert_eq!(hints.accept(&datagram(4), address(1)).err(), Some(Unfit::Old));
+    assert_eq!(hints.accept(&datagram(5), address(1)).err(), Some(Rejection::Stale));
+    assert_eq!(hints.accept(&datagram(4), address(1)).err(), Some(Rejection::Stale));
     assert!(hints.accept(&datagram(5), address(2)).is_ok(), "each sender has numbers of its own");
     hints.set_peers(vec![address(1), address(2), address(3)]);
-    assert_eq!(hints.accept(&datagram(5), address(1)).err(), Some(Unfit::Old), "a new list forgets nothing");
+    assert_eq!(
+        hints.accept(&datagram(5), address(1)).err(),
+        Some(Rejection::Stale),
+        "a new list forgets nothing"
+    );
 }
 
 #[test]
 fn a_strangers_datagram_changes_nothing() {
-    assert_eq!(listening().accept(&datagram(5), address(9)).err(), Some(Unfit::Stranger));
+    assert_eq!(listening().accept(&datagram(5), address(9)).err(), Some(Rejection::UnknownSender));
 }
 
 #[test]
 fn a_datagram_that_is_cut_or_of_another_version_changes_nothing() {
     let whole = datagram(5);
     for length in 0..whole.len() {
-        assert_eq!(listening().accept(&whole[..length], address(1)).err(), Some(Unfit::Unreadable));
+        assert_eq!(listening().accept(&whole[..length], address(1)).err(), Some(Rejection::Malformed));
     }
     let longer = [whole.as_slice(), &[0]].concat();
-    assert_eq!(listening().accept(&longer, address(1)).err(), Some(Unfit::Unreadable));
+    assert_eq!(listening().accept(&longer, address(1)).err(), Some(Rejection::Malformed));
     let older = [&[VERSION - 1], &whole[1..]].concat();
-    assert_eq!(listening().accept(&older, address(1)).err(), Some(Unfit::Unreadable));
+    assert_eq!(listening().accept(&older, address(1)).err(), Some(Rejection::Malformed));
 }
 
 fn denied(names: &[&str]) -> Word {
@@ -76,20 +80,20 @@
 #[test]
 fn word_of_a_denied_request_comes_out_as_it_was_and_counts_only_with_enough_upstreams() {
     let heard = |word: Word| {
-        let bytes = encode(&Numbered { number: 5, hint: Hint::Quarantine(word) });
-        assert!(bytes.len() <= LARGEST, "{} bytes", bytes.len());
+        let bytes = encode(&NumberedHint { number: 5, hint: Hint::Quarantine(word) });
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
         match listening().accept(&bytes, address(1)) {
             Ok(Hint::Quarantine(word)) => Ok(word),
             Ok(other) => panic!("{other:?}"),
-            Err(unfit) => Err(unfit),
+            Err(rejection) => Err(rejection),
         }
     };
     let sound = denied(&["i-1", "i-2", "i-3"]);
     assert_eq!(heard(sound.clone()), Ok(sound));
-    assert_eq!(heard(denied(&["i-1", "i-2"])).err(), Some(Unfit::Unreadable), "too few ended");
+    assert_eq!(heard(denied(&["i-1", "i-2"])).err(), Some(Rejection::Malformed), "too few ended");
     let long = "i".repeat(120);
-    assert_eq!(heard(denied(&["i-1", "i-2", &format!("{long}i")])).err(), Some(Unfit::Unreadable));
-    assert_eq!(heard(denied(&["i"; 9])).err(), Some(Unfit::Unreadable));
+    assert_eq!(heard(denied(&["i-1", "i-2", &format!("{long}i")])).err(), Some(Rejection::Malformed));
+    assert_eq!(heard(denied(&["i"; 9])).err(), Some(Rejection::Malformed));
     assert!(heard(denied(&[long.as_str(); 8])).is_ok(), "the longest fits into a datagram");
 }
 
@@ -97,19 +101,19 @@
 fn a_request_limit_comes_out_as_it_was_and_counts_only_if_it_is_a_rate() {
     let heard = |per_s: Option<f64>| {
         let hint = Hint::Limit { upstream: "i-7f3a91c2".to_owned(), started: Some(1_778_271_008_034), per_s };
-        let bytes = encode(&Numbered { number: 1_778_271_008_034_000, hint });
+        let bytes = encode(&NumberedHint { number: 1_778_271_008_034_000, hint });
         assert!(bytes.len() < 48, "{} bytes", bytes.len());
         match listening().accept(&bytes, address(1)) {
             Ok(Hint::Limit { per_s, .. }) => Ok(per_s),
             Ok(other) => panic!("{other:?}"),
-            Err(unfit) => Err(unfit),
+            Err(rejection) => Err(rejection),
         }
     };
     assert_eq!(heard(Some(2.2)), Ok(Some(2.2)));
     assert_eq!(heard(None), Ok(None));
-    assert_eq!(heard(Some(-1.0)), Err(Unfit::Unreadable));
-    assert_eq!(heard(Some(f64::NAN)), Err(Unfit::Unreadable));
-    assert_eq!(heard(Some(f64::INFINITY)), Err(Unfit::Unreadable));
+    assert_eq!(heard(Some(-1.0)), Err(Rejection::Malformed));
+    assert_eq!(heard(Some(f64::NAN)), Err(Rejection::Malformed));
+    assert_eq!(heard(Some(f64::INFINITY)), Err(Rejection::Malformed));
 }
 
 #[test]
@@ -125,7 +129,7 @@
             }),
             // Anything at all.
             _ => {
-                bytes = (0..random.gen_range(0..LARGEST)).map(|_| random.r#gen()).collect();
+                bytes = (0..random.gen_range(0..MAX_DATAGRAM_BYTES)).map(|_| random.r#gen()).collect();
                 bytes.insert(0, VERSION);
             }
         }
--- a/crates/gateway/tests/unit/snapshot.rs
+++ b/crates/gateway/tests/unit/snapshot.rs
@@ -120,13 +120,13 @@
         let began = std::time::Instant::now();
         let next = gateway("vm-2", &rows);
         until("the list", knows(&next, 6)).await;
-        assert!(began.elapsed() < Duration::from_millis(CLAIM_MS + 900), "{:?}", began.elapsed());
+        assert!(began.elapsed() < Duration::from_millis(CLAIM_TIMEOUT_MS + 900), "{:?}", began.elapsed());
     });
 }
 
 /// The page of a snapshot of so many upstreams.
 fn page(count: usize, written_ms: u64) -> Page {
-    let mut body = Body::default();
+    let mut contents = Contents::default();
     for index in 0..count {
         let listing = Listing {
             service: format!("service-{}", index % 2),
@@ -137,9 +137,9 @@
             started: Some(1_796_287_260_000 + index as u64),
             warmup_ms: 0,
         };
-        body.add(&format!("i-{:010x}", index * 7_919), 100_000 + index as u64, &listing);
+        contents.add(&format!("i-{:010x}", index * 7_919), 100_000 + index as u64, &listing);
     }
-    let bytes = options().serialize(&body).expect("plain data");
+    let bytes = options().serialize(&contents).expect("plain data");
     let (change, _) = change(100_000, written_ms, &bytes, None);
     let records = change.puts.into_iter().map(|(key, value)| store::rows::Record {
         table: key.table,
@@ -156,7 +156,7 @@
     assert_eq!(snapshot.upstreams.len(), 3_000);
     insta::assert_debug_snapshot!((snapshot.version, &snapshot.upstreams[2_990]));
     assert!(
-        read(&page(3_000, 20_000 - FRESH_MS - 1)).is_none(),
+        read(&page(3_000, 20_000 - MAX_AGE_MS - 1)).is_none(),
         "the store may have forgotten what came after it"
     );
     // 400 bytes each take 1.2 MB.
@@ -205,7 +205,7 @@
         for _ in 0..40 {
             exec::sleep(Duration::from_millis(50)).await;
             let next = node("vm-2", 1, &rows);
-            if let Start::From(snapshot) = load_or_claim(&next).await {
+            if let Start::FromSnapshot(snapshot) = load_or_claim(&next).await {
                 assert_eq!(snapshot.upstreams, vec![], "an entry that is not in the list");
             }
         }
