--- a/crates/gateway/src/failover.rs
+++ b/crates/gateway/src/failover.rs
@@ -41,7 +41,7 @@
 /// The most calls that a gateway makes for others concurrently. Each takes a descriptor and buffers, and only
 /// a few milliseconds if the store answers.
 const MAX_FORWARDED_CALLS: usize = 64;
-/// The largest message between gateways, in bytes: a page of the store and its encoding.
+/// The largest forwarded call or answer, in bytes: a page of the store and its encoding.
 const MESSAGE_LIMIT: usize = 4 << 20;
 /// How much longer a call through another gateway may take, in milliseconds: a round trip within a region.
 const FORWARDING_ALLOWANCE_MS: u64 = 50;
@@ -75,7 +75,7 @@
     forwarded: Arc<AtomicUsize>,
     /// The reads in progress.
     reads: Arc<Mutex<Vec<Progress>>>,
-    /// Counts the received bytes of the next read for the caller.
+    /// If set, counts the received bytes of reads.
     progress: Option<Progress>,
 }
 
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Makes a call directly. Fails with a time-out error if there is no answer in time.
+    /// Makes a call directly. The outer error means that there is no answer yet.
     async fn call_directly<T>(
         &self,
         step: &'static str,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -218,7 +218,8 @@
     }
 }
 
-/// Logs the measured speed of the engines of each service.
+/// Logs the measured speed of each service's engines, and the share of short streams that are late beside
+/// long reads.
 fn log_models<W: Wire, S: Rows>(node: &Node<W, S>) {
     let places = node.places();
     for (service, model, usual) in places.models() {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -24,8 +24,8 @@
 use std::time::Duration;
 use store::rows::{Progress, Rows};
 
-/// The fraction of the connections that an upstream accepts which the gateways use together. The rest is a
-/// margin, since gateways learn late of new ones.
+/// The fraction of an upstream's accepted connections that the gateways use together. The rest is a margin,
+/// since gateways learn of each other with a delay.
 const CONNECTION_FRACTION: f64 = 0.9;
 
 /// The size of the fleet that is assumed until the list of gateways is read. With a smaller one, a single
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -107,7 +107,7 @@
         self.entries.push(entry);
     }
 
-    /// The upstreams; `None` if an entry names what is not there.
+    /// The upstreams; `None` if an entry refers to a name that does not exist.
     fn upstreams(self) -> Option<Vec<Upstream>> {
         let Contents { names, entries } = self;
         let upstream = |entry: Entry| {
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -32,12 +32,12 @@
 /// no more requests.
 const MAX_BATCH_DELAY_MS: u64 = 300;
 /// The time after an outage of the store within which an upstream whose entry expired during it is listed
-/// again, in milliseconds, as guaranteed by the platform.
+/// again, in milliseconds, as specified by the platform.
 const RELIST_PERIOD_MS: Millis = 2_000;
 /// How long a vanished upstream is kept to see whether a large part of its service vanished with it, in
 /// milliseconds.
 const VANISH_DECISION_MS: Millis = 250;
-/// Replaces [`FEED_WAIT_MS`] while a vanished upstream is kept.
+/// Replaces [`FEED_WAIT_MS`] while a vanished upstream is kept, in milliseconds.
 const VANISH_FEED_WAIT_MS: u64 = 50;
 /// If at least this fraction of a service vanished, the entries are assumed to have expired. After an outage
 /// of the store entries expire together, whereas upstreams leave a few at a time.
@@ -61,9 +61,11 @@
     after: Option<u64>,
     /// The largest set of changes to receive, in bytes; the table is read in full if they are larger.
     max_bytes: usize,
+    /// When the outage of the store began; `None` if there is none.
     lost_at: Option<Millis>,
+    /// When the last outage ended.
     regained_at: Option<Millis>,
-    /// Whether no changes have been received since the table was read in full.
+    /// Whether no request for changes has succeeded since the table was read in full.
     is_new: bool,
     /// The delay before the next call, so that a burst of changes is received at once.
     delay: Option<Duration>,
--- a/crates/gateway/tests/unit/failover.rs
+++ b/crates/gateway/tests/unit/failover.rs
@@ -1,4 +1,4 @@
-//! Calls to the store by way of another gateway.
+//! Calls to the store through another gateway.
 
 use super::*;
 use crate::store_health::{HELPER_BACKOFF, MAX_FAILED_HELPERS, MAX_REFUSALS};
@@ -6,68 +6,74 @@
 use standin::{Link, Proxy, TableRows};
 use store::rows::Key;
 
-/// What lies between a gateway and the store.
+/// How the store behaves towards a gateway.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    Open,
-    /// Nothing is answered.
+enum Behaviour {
+    Responsive,
+    /// It does not answer.
     Silent,
-    /// Everything is refused.
-    Busy,
-    /// Answers take half as long again as a read is waited for.
+    /// It refuses all calls.
+    Refusing,
+    /// It takes one and a half times as long as the time-out of a read.
     Slow,
-    /// Answers come over the gateway's link.
-    Linked,
+    /// Its answers pass over the gateway's link.
+    OverLink,
 }
 
-/// Bytes that pass the link one after another.
-const PIECE: usize = 16 * 1024;
+/// The bytes that pass over the link at a time.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The store as one gateway reaches it.
+/// The store as seen by one gateway.
 #[derive(Clone)]
-struct Path {
+struct TestStore {
     rows: TableRows,
-    way: Arc<Mutex<Way>>,
+    behaviour: Arc<Mutex<Behaviour>>,
     link: Arc<Link>,
     progress: Progress,
 }
 
-impl Path {
-    fn new(rows: &TableRows) -> Path {
+impl TestStore {
+    fn new(rows: &TableRows) -> TestStore {
         let link = Arc::new(Link::new(LINK_BYTES_PER_S));
-        Path { rows: rows.clone(), way: Arc::new(Mutex::new(Way::Open)), link, progress: Progress::default() }
+        TestStore {
+            rows: rows.clone(),
+            behaviour: Arc::new(Mutex::new(Behaviour::Responsive)),
+            link,
+            progress: Progress::default(),
+        }
     }
 
-    fn set(&self, way: Way) {
-        *self.way.lock().expect("the way") = way;
+    fn set(&self, behaviour: Behaviour) {
+        *self.behaviour.lock().expect("the lock is not poisoned") = behaviour;
     }
 
-    fn way(&self) -> Way {
-        *self.way.lock().expect("the way")
+    fn behaviour(&self) -> Behaviour {
+        *self.behaviour.lock().expect("the lock is not poisoned")
     }
 
-    /// Brings an answer over the link.
-    async fn bring(&self, page: Page) -> Page {
-        if self.way() == Way::Linked {
+    /// Sends an answer over the link, if it has to pass over it.
+    async fn transfer(&self, page: Page) -> Page {
+        if self.behaviour() == Behaviour::OverLink {
             let bytes: usize =
                 page.records.iter().filter_map(|record| record.value.as_ref()).map(Vec::len).sum();
-            for _ in 0..bytes.div_ceil(PIECE) {
-                self.link.carry(PIECE).await;
-                self.progress.add(PIECE);
+            for _ in 0..bytes.div_ceil(CHUNK_BYTES) {
+                self.link.carry(CHUNK_BYTES).await;
+                self.progress.add(CHUNK_BYTES);
             }
         }
         page
     }
 
-    async fn pass(&self) -> Result<(), Error> {
-        match self.way() {
-            Way::Open | Way::Linked => Ok(()),
-            Way::Silent => std::future::pending().await,
-            Way::Slow => {
+    /// Delays or fails a call as the current behaviour requires.
+    async fn respond(&self) -> Result<(), Error> {
+        match self.behaviour() {
+            Behaviour::Responsive | Behaviour::OverLink => Ok(()),
+            Behaviour::Silent => std::future::pending().await,
+            Behaviour::Slow => {
                 exec::sleep(Duration::from_millis(1_000)).await;
                 Ok(())
             }
-            Way::Busy => Err(Error {
+            Behaviour::Refusing => Err(Error {
                 step: "call",
                 peer: "test".to_owned(),
                 fault: Fault::NotApplied,
@@ -77,35 +83,35 @@
     }
 }
 
-impl Rows for Path {
+impl Rows for TestStore {
     async fn commit(&self, change: &Change) -> Result<Commit, Error> {
-        self.pass().await?;
+        self.respond().await?;
         self.rows.commit(change).await
     }
 
     async fn list(&self, table: &str, part: &str) -> Result<Page, Error> {
-        self.pass().await?;
-        Ok(self.bring(self.rows.list(table, part).await?).await)
+        self.respond().await?;
+        Ok(self.transfer(self.rows.list(table, part).await?).await)
     }
 
     async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
-        self.pass().await?;
+        self.respond().await?;
         self.rows.feed(table, since).await
     }
 
-    fn reporting(&self, progress: &Progress) -> Path {
-        Path { progress: progress.clone(), ..self.clone() }
+    fn reporting(&self, progress: &Progress) -> TestStore {
+        TestStore { progress: progress.clone(), ..self.clone() }
     }
 }
 
-/// A link of which prompts leave a third of 10 Mbit/s.
+/// The bandwidth that is left for answers: a third of a link of 10 Mbit/s, of which prompts take the rest.
 const LINK_BYTES_PER_S: f64 = 417_000.0;
-/// A configuration of nearly 1 MB.
-const LARGE: usize = 900_000;
+/// The size of a large answer: a configuration of nearly 1 MB.
+const LARGE_BYTES: usize = 900_000;
 
-/// A gateway that reaches the store, and makes calls for others.
-async fn helper(path: &Path) -> (Failover<Path>, Handle) {
-    let failover = Failover::new(path.clone());
+/// A gateway that serves the calls of others.
+async fn helper(store: &TestStore) -> (Failover<TestStore>, Handle) {
+    let failover = Failover::new(store.clone());
     let serving = failover.clone();
     let handle =
         net::serve(standin::loopback(), Limits::default(), move |request| serving.clone().answer(request))
@@ -119,59 +125,63 @@
 }
 
 #[test]
-fn calls_go_by_another_gateway_while_the_store_is_silent() {
+fn calls_go_through_another_gateway_while_the_store_does_not_answer() {
     net::exec::start(2);
     exec::block_on(async {
         let rows = TableRows::default();
-        let (open, cut) = (Path::new(&rows), Path::new(&rows));
-        let (_other, handle) = helper(&open).await;
-        let failover = Failover::new(cut.clone());
+        let (reachable, cut_off) = (TestStore::new(&rows), TestStore::new(&rows));
+        let (_other, handle) = helper(&reachable).await;
+        let failover = Failover::new(cut_off.clone());
         failover.set_peers(&[handle.address()]);
         assert!(failover.list("things", "").await.is_ok());
 
-        cut.set(Way::Silent);
+        cut_off.set(Behaviour::Silent);
         let began = Instant::now();
-        assert!(failover.list("things", "").await.is_ok(), "a read is made again by way of the other");
+        assert!(failover.list("things", "").await.is_ok(), "a read is repeated through the other gateway");
         assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
         let began = Instant::now();
         assert!(matches!(failover.commit(&put("one")).await, Ok(Commit::Applied(_))));
-        assert!(began.elapsed() < Duration::from_millis(200), "known to be away: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_millis(200),
+            "the store is known to be unreachable: {:?}",
+            began.elapsed()
+        );
         assert!(rows.get("things", "", "one").is_some());
         let since = Since { after: 0, wait_ms: 10, most: usize::MAX };
         assert!(matches!(failover.feed("things", since).await, Ok(Feed::Changes(_))));
 
-        cut.set(Way::Open);
+        cut_off.set(Behaviour::Responsive);
         exec::sleep(3 * PROBE_INTERVAL).await;
-        assert!(!failover.lock().is_unreachable(), "the direct way is taken again");
+        assert!(!failover.lock().is_unreachable(), "calls are made directly again");
     });
 }
 
 #[test]
-fn a_write_whose_fate_is_not_known_is_not_made_again() {
+fn a_write_with_an_unknown_outcome_is_not_repeated() {
     net::exec::start(2);
     exec::block_on(async {
         let rows = TableRows::default();
-        let (open, cut) = (Path::new(&rows), Path::new(&rows));
-        let (_other, handle) = helper(&open).await;
-        let failover = Failover::new(cut.clone());
+        let (reachable, cut_off) = (TestStore::new(&rows), TestStore::new(&rows));
+        let (_other, handle) = helper(&reachable).await;
+        let failover = Failover::new(cut_off.clone());
         failover.set_peers(&[handle.address()]);
-        cut.set(Way::Silent);
-        let error = failover.commit(&put("one")).await.expect_err("no answer came");
+        cut_off.set(Behaviour::Silent);
+        let error = failover.commit(&put("one")).await.expect_err("there is no answer");
         assert_eq!(error.fault, Fault::Unknown);
-        assert!(rows.get("things", "", "one").is_none(), "it may still be on its way to the store");
+        assert!(rows.get("things", "", "one").is_none(), "the first write may still reach the store");
     });
 }
 
 #[test]
-fn refusals_in_a_row_lead_to_another_gateway_and_one_does_not() {
+fn only_consecutive_refusals_lead_to_another_gateway() {
     net::exec::start(2);
     exec::block_on(async {
         let rows = TableRows::default();
-        let (open, cut) = (Path::new(&rows), Path::new(&rows));
-        let (_other, handle) = helper(&open).await;
-        let failover = Failover::new(cut.clone());
+        let (reachable, cut_off) = (TestStore::new(&rows), TestStore::new(&rows));
+        let (_other, handle) = helper(&reachable).await;
+        let failover = Failover::new(cut_off.clone());
         failover.set_peers(&[handle.address()]);
-        cut.set(Way::Busy);
+        cut_off.set(Behaviour::Refusing);
         for _ in 1..MAX_REFUSALS {
             let error = failover.commit(&put("one")).await.expect_err("it is refused");
             assert_eq!(error.fault, Fault::NotApplied);
@@ -181,32 +191,35 @@
 }
 
 #[test]
-fn a_gateway_that_is_cut_off_too_is_no_help_and_harms_nothing() {
+fn a_gateway_that_has_lost_the_store_too_does_not_delay_calls_much() {
     net::exec::start(2);
     exec::block_on(async {
         let rows = TableRows::default();
-        let (first, second) = (Path::new(&rows), Path::new(&rows));
+        let (first, second) = (TestStore::new(&rows), TestStore::new(&rows));
         let (other, handle) = helper(&first).await;
         let failover = Failover::new(second.clone());
         failover.set_peers(&[handle.address()]);
-        first.set(Way::Silent);
-        second.set(Way::Silent);
+        first.set(Behaviour::Silent);
+        second.set(Behaviour::Silent);
         assert!(other.list("things", "").await.is_err());
         let began = Instant::now();
         assert!(failover.list("things", "").await.is_err());
         assert!(failover.list("things", "").await.is_err());
         assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
-        first.set(Way::Open);
+        first.set(Behaviour::Responsive);
         exec::sleep(3 * PROBE_INTERVAL + HELPER_BACKOFF).await;
-        assert!(failover.list("things", "").await.is_ok(), "the other helps once it can");
+        assert!(
+            failover.list("things", "").await.is_ok(),
+            "the other gateway helps once it reaches the store"
+        );
     });
 }
 
 #[test]
-fn gateways_that_lose_the_store_together_ask_different_ones() {
+fn gateways_that_lose_the_store_together_ask_different_helpers() {
     let peers: Vec<SocketAddr> = (1..=200).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
     let asked = |_| {
-        let failover = Failover::new(Path::new(&TableRows::default()));
+        let failover = Failover::new(TestStore::new(&TableRows::default()));
         failover.set_peers(&peers);
         failover.lock().helpers()
     };
@@ -219,14 +232,14 @@
 }
 
 #[test]
-fn a_gateway_makes_few_calls_of_others_at_the_same_time() {
+fn the_concurrent_calls_for_other_gateways_are_limited() {
     net::exec::start(2);
     exec::block_on(async {
-        let path = Path::new(&TableRows::default());
-        let (helping, _handle) = helper(&path).await;
+        let store = TestStore::new(&TableRows::default());
+        let (helping, _handle) = helper(&store).await;
         let slots: Vec<CallSlot<'_>> =
             (0..MAX_FORWARDED_CALLS).map(|_| CallSlot::take(&helping.forwarded)).collect();
-        let call = || helping.make_for_peer("list", &"things", path.list("things", ""));
+        let call = || helping.make_for_peer("list", &"things", store.list("things", ""));
         let answer = async |response: Response<Body>| {
             let bytes =
                 http_body_util::BodyExt::collect(response.into_body()).await.expect("a body").to_bytes();
@@ -239,75 +252,79 @@
 }
 
 #[test]
-fn a_gateway_whose_link_a_large_answer_takes_makes_no_calls_of_others() {
+fn a_gateway_makes_no_calls_for_others_while_a_large_answer_occupies_its_link() {
     net::exec::start(2);
     exec::block_on(async {
         let rows = TableRows::default();
-        rows.put("things", "", "large", vec![b'x'; LARGE]);
-        let path = Path::new(&rows);
-        let (helping, handle) = helper(&path).await;
-        path.set(Way::Linked);
+        rows.put("things", "", "large", vec![b'x'; LARGE_BYTES]);
+        let store = TestStore::new(&rows);
+        let (helping, handle) = helper(&store).await;
+        store.set(Behaviour::OverLink);
         let reading = exec::spawn(async move { helping.list("things", "").await });
         exec::sleep(Duration::from_millis(500)).await;
-        let cut = Path::new(&rows);
-        cut.set(Way::Silent);
-        let failover = Failover::new(cut);
+        let cut_off = TestStore::new(&rows);
+        cut_off.set(Behaviour::Silent);
+        let failover = Failover::new(cut_off);
         failover.set_peers(&[handle.address()]);
         let began = Instant::now();
-        assert!(failover.list("other", "").await.is_err(), "it was asked to help");
+        assert!(failover.list("other", "").await.is_err(), "a gateway with a busy link made the call");
         assert!(reading.await.is_ok());
         failover.lock().peers[0].1 = began;
-        assert!(failover.list("other", "").await.is_ok(), "it helps once its link is free");
+        assert!(failover.list("other", "").await.is_ok(), "it makes the call once its link is free");
     });
 }
 
 #[test]
-fn a_read_that_is_late_is_not_made_anew() {
+fn a_late_read_is_not_restarted() {
     net::exec::start(2);
     exec::block_on(async {
-        let path = Path::new(&TableRows::default());
-        path.set(Way::Slow);
-        let failover = Failover::new(path);
+        let store = TestStore::new(&TableRows::default());
+        store.set(Behaviour::Slow);
+        let failover = Failover::new(store);
         let began = Instant::now();
-        assert!(failover.list("things", "").await.is_ok(), "a large answer was on its way");
+        assert!(failover.list("things", "").await.is_ok(), "the answer was not awaited");
         assert!(began.elapsed() >= Duration::from_millis(900), "{:?}", began.elapsed());
-        assert!(!failover.lock().is_unreachable(), "it answered after all");
+        assert!(!failover.lock().is_unreachable(), "the store did answer");
     });
 }
 
 #[test]
-fn a_fleet_that_lost_the_store_together_stops_asking_each_other_for_a_while() {
+fn helpers_are_not_asked_for_a_while_if_none_of_them_reaches_the_store() {
     let peers: Vec<SocketAddr> = (1..=50).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
-    let failover = Failover::new(Path::new(&TableRows::default()));
+    let failover = Failover::new(TestStore::new(&TableRows::default()));
     failover.set_peers(&peers);
     for _ in 0..MAX_FAILED_HELPERS {
         let asked = failover.lock().helpers();
         assert!(!asked.is_empty());
         failover.lock().back_off(asked[0]);
     }
-    assert!(failover.lock().helpers().is_empty(), "none of those asked reaches the store");
+    assert!(failover.lock().helpers().is_empty(), "none of the helpers reached the store");
     failover.lock().paused_until = Some(Instant::now());
-    assert!(!failover.lock().helpers().is_empty(), "they are asked again later");
+    assert!(!failover.lock().helpers().is_empty(), "helpers are asked again after the pause");
 }
 
 #[test]
-fn a_large_answer_that_is_on_its_way_is_not_asked_for_again_over_the_same_link() {
+fn a_large_answer_that_is_arriving_is_not_requested_again_over_the_same_link() {
     net::exec::start(2);
     exec::block_on(async {
         let rows = TableRows::default();
-        rows.put("things", "", "large", vec![b'x'; LARGE]);
-        let path = Path::new(&rows);
-        let (_other, handle) = helper(&Path::new(&rows)).await;
-        let by_other = Proxy::start_on(handle.address(), Some(path.link.clone())).await.expect("a proxy");
-        let failover = Failover::new(path.clone());
+        rows.put("things", "", "large", vec![b'x'; LARGE_BYTES]);
+        let store = TestStore::new(&rows);
+        let (_other, handle) = helper(&TestStore::new(&rows)).await;
+        let by_other = Proxy::start_on(handle.address(), Some(store.link.clone())).await.expect("a proxy");
+        let failover = Failover::new(store.clone());
         failover.set_peers(&[by_other.address()]);
-        path.set(Way::Linked);
+        store.set(Behaviour::OverLink);
         let began = Instant::now();
         let answer = failover.list("things", "").await;
-        let alone = Duration::from_secs_f64(LARGE as f64 / LINK_BYTES_PER_S);
+        let alone = Duration::from_secs_f64(LARGE_BYTES as f64 / LINK_BYTES_PER_S);
         assert!(answer.is_ok(), "{answer:?} after {:?}", began.elapsed());
-        assert!(began.elapsed() < alone.mul_f64(1.3), "{:?}, alone it takes {alone:?}", began.elapsed());
-        assert_eq!(by_other.passed(), 0, "bytes that came a second time");
-        assert!(!failover.lock().is_unreachable(), "the store is here");
+        assert!(
+            began.elapsed() < alone.mul_f64(1.3),
+            "{:?}, without other traffic it takes {alone:?}",
+            began.elapsed()
+        );
+        assert_eq!(by_other.passed(), 0, "bytes that arrived a second time");
+        assert!(!failover.lock().is_unreachable(), "the store counts as unreachable");
     });
 }
--- a/crates/gateway/tests/unit/hints.rs
+++ b/crates/gateway/tests/unit/hints.rs
@@ -1,4 +1,4 @@
-//! What is told between gateways, and what a datagram that is not fit changes.
+//! The encoding of hints, and the datagrams that are dropped.
 
 use super::*;
 use rand::rngs::SmallRng;
@@ -24,52 +24,52 @@
     encode(&NumberedHint { number, hint: Hint::Dispatch { upstream: "i-7f3a91c2".to_owned(), told: told() } })
 }
 
-fn listening() -> Hints {
+fn hints() -> Hints {
     let hints = Hints::default();
     hints.set_peers(vec![address(1), address(2)]);
     hints
 }
 
 #[test]
-fn a_dispatch_fits_into_few_bytes_and_comes_out_as_it_was() {
+fn a_dispatch_is_encoded_compactly_and_decoded_unchanged() {
     let bytes = datagram(1_778_271_008_034_000);
     assert!(bytes.len() < 64, "{} bytes", bytes.len());
-    let Ok(Hint::Dispatch { upstream, told }) = listening().accept(&bytes, address(1)) else {
-        panic!("it is fit")
+    let Ok(Hint::Dispatch { upstream, told }) = hints().accept(&bytes, address(1)) else {
+        panic!("the datagram was dropped")
     };
     insta::assert_debug_snapshot!((upstream, told));
 }
 
 #[test]
-fn a_repeated_or_late_datagram_changes_nothing() {
-    let hints = listening();
+fn a_repeated_or_late_datagram_is_dropped() {
+    let hints = hints();
     assert!(hints.accept(&datagram(5), address(1)).is_ok());
     assert_eq!(hints.accept(&datagram(5), address(1)).err(), Some(Rejection::Stale));
     assert_eq!(hints.accept(&datagram(4), address(1)).err(), Some(Rejection::Stale));
-    assert!(hints.accept(&datagram(5), address(2)).is_ok(), "each sender has numbers of its own");
+    assert!(hints.accept(&datagram(5), address(2)).is_ok(), "each sender has its own sequence numbers");
     hints.set_peers(vec![address(1), address(2), address(3)]);
     assert_eq!(
         hints.accept(&datagram(5), address(1)).err(),
         Some(Rejection::Stale),
-        "a new list forgets nothing"
+        "a new list of peers keeps the numbers"
     );
 }
 
 #[test]
-fn a_strangers_datagram_changes_nothing() {
-    assert_eq!(listening().accept(&datagram(5), address(9)).err(), Some(Rejection::UnknownSender));
+fn a_datagram_of_an_unknown_sender_is_dropped() {
+    assert_eq!(hints().accept(&datagram(5), address(9)).err(), Some(Rejection::UnknownSender));
 }
 
 #[test]
-fn a_datagram_that_is_cut_or_of_another_version_changes_nothing() {
+fn a_datagram_of_wrong_length_or_another_version_is_dropped() {
     let whole = datagram(5);
     for length in 0..whole.len() {
-        assert_eq!(listening().accept(&whole[..length], address(1)).err(), Some(Rejection::Malformed));
+        assert_eq!(hints().accept(&whole[..length], address(1)).err(), Some(Rejection::Malformed));
     }
     let longer = [whole.as_slice(), &[0]].concat();
-    assert_eq!(listening().accept(&longer, address(1)).err(), Some(Rejection::Malformed));
+    assert_eq!(hints().accept(&longer, address(1)).err(), Some(Rejection::Malformed));
     let older = [&[VERSION - 1], &whole[1..]].concat();
-    assert_eq!(listening().accept(&older, address(1)).err(), Some(Rejection::Malformed));
+    assert_eq!(hints().accept(&older, address(1)).err(), Some(Rejection::Malformed));
 }
 
 fn denied(names: &[&str]) -> Word {
@@ -78,62 +78,66 @@
 }
 
 #[test]
-fn word_of_a_denied_request_comes_out_as_it_was_and_counts_only_with_enough_upstreams() {
-    let heard = |word: Word| {
+fn a_denial_is_decoded_unchanged_and_accepted_only_with_enough_upstreams() {
+    let decoded = |word: Word| {
         let bytes = encode(&NumberedHint { number: 5, hint: Hint::Quarantine(word) });
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
-        match listening().accept(&bytes, address(1)) {
+        match hints().accept(&bytes, address(1)) {
             Ok(Hint::Quarantine(word)) => Ok(word),
             Ok(other) => panic!("{other:?}"),
             Err(rejection) => Err(rejection),
         }
     };
     let sound = denied(&["i-1", "i-2", "i-3"]);
-    assert_eq!(heard(sound.clone()), Ok(sound));
-    assert_eq!(heard(denied(&["i-1", "i-2"])).err(), Some(Rejection::Malformed), "too few ended");
+    assert_eq!(decoded(sound.clone()), Ok(sound));
+    assert_eq!(
+        decoded(denied(&["i-1", "i-2"])).err(),
+        Some(Rejection::Malformed),
+        "too few terminated upstreams"
+    );
     let long = "i".repeat(120);
-    assert_eq!(heard(denied(&["i-1", "i-2", &format!("{long}i")])).err(), Some(Rejection::Malformed));
-    assert_eq!(heard(denied(&["i"; 9])).err(), Some(Rejection::Malformed));
-    assert!(heard(denied(&[long.as_str(); 8])).is_ok(), "the longest fits into a datagram");
+    assert_eq!(decoded(denied(&["i-1", "i-2", &format!("{long}i")])).err(), Some(Rejection::Malformed));
+    assert_eq!(decoded(denied(&["i"; 9])).err(), Some(Rejection::Malformed));
+    assert!(decoded(denied(&[long.as_str(); 8])).is_ok(), "the largest denial fits into a datagram");
 }
 
 #[test]
-fn a_request_limit_comes_out_as_it_was_and_counts_only_if_it_is_a_rate() {
-    let heard = |per_s: Option<f64>| {
+fn a_request_limit_is_decoded_unchanged_and_accepted_only_if_it_is_a_rate() {
+    let decoded = |per_s: Option<f64>| {
         let hint = Hint::Limit { upstream: "i-7f3a91c2".to_owned(), started: Some(1_778_271_008_034), per_s };
         let bytes = encode(&NumberedHint { number: 1_778_271_008_034_000, hint });
         assert!(bytes.len() < 48, "{} bytes", bytes.len());
-        match listening().accept(&bytes, address(1)) {
+        match hints().accept(&bytes, address(1)) {
             Ok(Hint::Limit { per_s, .. }) => Ok(per_s),
             Ok(other) => panic!("{other:?}"),
             Err(rejection) => Err(rejection),
         }
     };
-    assert_eq!(heard(Some(2.2)), Ok(Some(2.2)));
-    assert_eq!(heard(None), Ok(None));
-    assert_eq!(heard(Some(-1.0)), Err(Rejection::Malformed));
-    assert_eq!(heard(Some(f64::NAN)), Err(Rejection::Malformed));
-    assert_eq!(heard(Some(f64::INFINITY)), Err(Rejection::Malformed));
+    assert_eq!(decoded(Some(2.2)), Ok(Some(2.2)));
+    assert_eq!(decoded(None), Ok(None));
+    assert_eq!(decoded(Some(-1.0)), Err(Rejection::Malformed));
+    assert_eq!(decoded(Some(f64::NAN)), Err(Rejection::Malformed));
+    assert_eq!(decoded(Some(f64::INFINITY)), Err(Rejection::Malformed));
 }
 
 #[test]
-fn no_bytes_make_a_gateway_panic_or_believe_the_impossible() {
+fn no_datagram_causes_a_panic_or_is_accepted_with_impossible_values() {
     let mut random = SmallRng::seed_from_u64(7);
     for round in 0..200_000 {
         let mut bytes = datagram(5);
         match round % 2 {
-            // Altered in a few places.
+            // A valid datagram with a few altered bytes.
             0 => (0..random.gen_range(1..6)).for_each(|_| {
                 let index = random.gen_range(1..bytes.len());
                 bytes[index] = random.r#gen();
             }),
-            // Anything at all.
+            // Random bytes.
             _ => {
                 bytes = (0..random.gen_range(0..MAX_DATAGRAM_BYTES)).map(|_| random.r#gen()).collect();
                 bytes.insert(0, VERSION);
             }
         }
-        if let Ok(Hint::Dispatch { told, .. }) = listening().accept(&bytes, address(1)) {
+        if let Ok(Hint::Dispatch { told, .. }) = hints().accept(&bytes, address(1)) {
             assert!(told.is_sound(), "{told:?}");
             assert!(told.lasts_ms.is_finite() && told.unread <= 4_000_000, "{told:?}");
         }
--- a/crates/gateway/tests/unit/snapshot.rs
+++ b/crates/gateway/tests/unit/snapshot.rs
@@ -1,7 +1,7 @@
 //! Starting from a snapshot of the list of upstreams.
 //!
-//! What was seen: a fleet of 300 gateways before 3,000 upstreams read 0.67 GB at the store on a day on which 30 before 300 read 0.016 GB: each
-//! read each row when it started.
+//! These tests guard against starting gateways that read every row of the list. On one day, 300 gateways with
+//! 3,000 upstreams read 0.67 GB from the store that way, and 30 gateways with 300 upstreams read 0.016 GB.
 
 use super::*;
 use crate::support::{PlainTextWire, node};
@@ -16,7 +16,8 @@
     }
 }
 
-/// A node that follows the list until it is dropped: tasks that outlive their test take processor time from the others.
+/// A node that follows the list until it is dropped. A task that outlives its test would take processor time
+/// from the others.
 struct Gateway {
     node: Arc<Node<PlainTextWire, TableRows>>,
     _watch: smol::Task<()>,
@@ -50,7 +51,8 @@
     move || node.listings().len() == count
 }
 
-fn whole_reads(node: &Node<PlainTextWire, TableRows>) -> u64 {
+/// The number of times that a node read the list in full.
+fn full_reads(node: &Node<PlainTextWire, TableRows>) -> u64 {
     node.metrics.store_calls.with_label_values(&["list", LIST, "read"]).get()
 }
 
@@ -59,59 +61,59 @@
 }
 
 #[test]
-fn of_gateways_that_start_together_one_reads_the_whole_list() {
+fn of_gateways_that_start_together_one_reads_the_list_in_full() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 50);
         let gateways: Vec<_> = (0..20).map(|index| gateway(&format!("vm-{index}"), &rows)).collect();
         for gateway in &gateways {
-            until("all know the list", knows(gateway, 50)).await;
+            until("a gateway does not know the list", knows(gateway, 50)).await;
         }
-        assert_eq!(gateways.iter().map(|gateway| whole_reads(gateway)).sum::<u64>(), 1);
+        assert_eq!(gateways.iter().map(|gateway| full_reads(gateway)).sum::<u64>(), 1);
     });
 }
 
 #[test]
-fn what_changed_since_the_snapshot_is_followed() {
+fn changes_since_the_snapshot_are_followed() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 6);
         let first = gateway("vm-1", &rows);
-        until("a snapshot", || has_snapshot(&rows)).await;
+        until("there is no snapshot", || has_snapshot(&rows)).await;
         rows.drop_row(LIST, "", "engine-2");
         rows.put(LIST, "", "engine-3", "narrator 127.0.0.1:9003 leaving");
         rows.put(LIST, "", "engine-9", "narrator 127.0.0.1:9009 warmup=900");
         let next = gateway("vm-2", &rows);
-        until("the first follows", knows(&first, 6)).await;
-        until("the changes", || {
+        until("the first gateway does not follow the changes", knows(&first, 6)).await;
+        until("the second gateway does not follow the changes", || {
             let listings = next.listings();
             !listings.contains_key("engine-2")
                 && listings.contains_key("engine-9")
                 && listings["engine-3"].leaving
         })
         .await;
-        assert_eq!(whole_reads(&next), 0);
+        assert_eq!(full_reads(&next), 0);
         assert_eq!(*next.listings(), *first.listings());
     });
 }
 
 #[test]
-fn after_a_lost_history_the_list_is_read_whole() {
+fn the_list_is_read_in_full_after_the_store_lost_its_history() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 6);
         let _first = gateway("vm-1", &rows);
-        until("a snapshot", || has_snapshot(&rows)).await;
+        until("there is no snapshot", || has_snapshot(&rows)).await;
         rows.set_fault(RowsFault::HistoryGone);
         rows.drop_row(LIST, "", "engine-2");
         let next = gateway("vm-2", &rows);
-        until("the one that left is gone", knows(&next, 5)).await;
-        assert!(whole_reads(&next) > 0);
+        until("the removed upstream is still listed", knows(&next, 5)).await;
+        assert!(full_reads(&next) > 0);
     });
 }
 
 #[test]
-fn a_gateway_whose_claim_comes_to_nothing_is_not_waited_for_long() {
+fn the_wait_for_a_gateway_that_does_not_write_the_claimed_snapshot_is_bounded() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 6);
@@ -119,12 +121,12 @@
         rows.put(TABLE, PART, CLAIM, claim);
         let began = std::time::Instant::now();
         let next = gateway("vm-2", &rows);
-        until("the list", knows(&next, 6)).await;
+        until("the gateway does not know the list", knows(&next, 6)).await;
         assert!(began.elapsed() < Duration::from_millis(CLAIM_TIMEOUT_MS + 900), "{:?}", began.elapsed());
     });
 }
 
-/// The page of a snapshot of so many upstreams.
+/// The page with a snapshot of `count` upstreams.
 fn page(count: usize, written_ms: u64) -> Page {
     let mut contents = Contents::default();
     for index in 0..count {
@@ -139,7 +141,7 @@
         };
         contents.add(&format!("i-{:010x}", index * 7_919), 100_000 + index as u64, &listing);
     }
-    let bytes = options().serialize(&contents).expect("plain data");
+    let bytes = options().serialize(&contents).expect("the contents serialize to bincode");
     let (change, _) = change(100_000, written_ms, &bytes, None);
     let records = change.puts.into_iter().map(|(key, value)| store::rows::Record {
         table: key.table,
@@ -157,15 +159,15 @@
     insta::assert_debug_snapshot!((snapshot.version, &snapshot.upstreams[2_990]));
     assert!(
         read(&page(3_000, 20_000 - MAX_AGE_MS - 1)).is_none(),
-        "the store may have forgotten what came after it"
+        "the store may have discarded the changes since"
     );
-    // 400 bytes each take 1.2 MB.
+    // Rows of 400 bytes each would take 1.2 MB.
     let bytes: usize = page(3_000, 0).records.iter().map(|row| row.value.as_ref().map_or(0, Vec::len)).sum();
     assert!(bytes < 150_000, "{bytes} bytes");
 }
 
 #[test]
-fn rows_of_different_snapshots_altered_ones_and_missing_ones_are_none() {
+fn a_snapshot_with_altered_or_missing_rows_is_not_used() {
     for row in 0..3 {
         let mut altered = page(3_000, 15_000);
         if let Some(byte) = altered.records[row].value.as_mut().and_then(|value| value.last_mut()) {
@@ -189,13 +191,13 @@
 }
 
 #[test]
-fn an_upstream_whose_entry_lapsed_is_not_in_the_snapshot() {
+fn an_upstream_whose_entry_expired_is_not_in_the_snapshot() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 6);
         let first = gateway("vm-1", &rows);
-        until("the list", knows(&first, 6)).await;
-        until("a snapshot", || has_snapshot(&rows)).await;
+        until("the gateway does not know the list", knows(&first, 6)).await;
+        until("there is no snapshot", || has_snapshot(&rows)).await;
         rows.set_fault(RowsFault::Down);
         exec::sleep(Duration::from_millis(1_300)).await;
         (0..6).for_each(|index| rows.drop_row(LIST, "", &format!("engine-{index}")));
@@ -206,7 +208,7 @@
             exec::sleep(Duration::from_millis(50)).await;
             let next = node("vm-2", 1, &rows);
             if let Start::FromSnapshot(snapshot) = load_or_claim(&next).await {
-                assert_eq!(snapshot.upstreams, vec![], "an entry that is not in the list");
+                assert_eq!(snapshot.upstreams, vec![], "the snapshot contains an expired entry");
             }
         }
     });
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams around outages of the store.
+//! The list of upstreams and the evacuations, also during outages of the store.
 
 use super::*;
 use crate::support::{PlainTextWire, node};
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_upstream_that_vanishes_gets_nothing_more() {
+fn an_upstream_that_vanishes_is_removed() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 6);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn one_that_left_while_this_router_was_cut_off_is_gone_soon_after() {
+fn an_upstream_that_left_during_an_outage_is_removed_soon_after_it() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 6);
@@ -57,12 +57,12 @@
         until(&node, "all are listed", 6).await;
         outage(&rows, || rows.drop_row(TABLE, "", "engine-2")).await;
         let ms = until(&node, "one is gone", 5).await;
-        assert!(ms < RELIST_PERIOD_MS, "it took {ms} ms, as long as a lapsed entry");
+        assert!(ms < RELIST_PERIOD_MS, "the removal took {ms} ms, as long as that of an expired entry");
     });
 }
 
 #[test]
-fn entries_that_lapsed_together_are_kept_until_they_can_be_back() {
+fn entries_that_expired_together_are_kept_until_they_can_be_listed_again() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 6);
@@ -70,14 +70,14 @@
         until(&node, "all are listed", 6).await;
         outage(&rows, || (0..6).for_each(|index| rows.drop_row(TABLE, "", &format!("engine-{index}")))).await;
         exec::sleep(Duration::from_millis(900)).await;
-        assert_eq!(node.listings().len(), 6, "lapsed entries were dropped at once");
+        assert_eq!(node.listings().len(), 6, "expired entries were removed at once");
         list(&rows, 5);
-        until(&node, "the one that did not come back is gone", 5).await;
+        until(&node, "the upstream that was not listed again is removed", 5).await;
     });
 }
 
 #[test]
-fn a_forgotten_history_is_followed_by_a_whole_read() {
+fn the_table_is_read_in_full_after_the_store_lost_its_history() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 3);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn an_entry_of_another_writer_takes_its_upstream_out_until_a_fit_one_is_back() {
+fn a_malformed_entry_removes_its_upstream_until_a_valid_one_is_written() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 3);
@@ -120,15 +120,15 @@
         until(&node, "all are listed", 3).await;
         let address = node.listings()["engine-1"].address;
         put(&rows, "\u{1}\u{2}");
-        until(&node, "it names no upstream", 2).await;
+        until(&node, "the malformed entry names no upstream", 2).await;
         assert!(node.metrics.entries_unfit.get() > 0);
         put(&rows, &format!("engines {address}"));
-        until(&node, "it is back", 3).await;
+        until(&node, "the upstream is listed again", 3).await;
     });
 }
 
 #[test]
-fn a_later_start_under_the_same_name_forgets_what_was_learned_and_an_earlier_one_changes_nothing() {
+fn a_restart_under_the_same_name_discards_measurements_and_a_late_entry_is_ignored() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 3);
@@ -146,7 +146,7 @@
             }
             panic!("{what}: {:?}", node.listings().get("engine-1"));
         };
-        state("it leaves", 100, true).await;
+        state("the upstream is leaving", 100, true).await;
         for _ in 0..3 {
             node.places().fail("engine-1", node.now());
         }
@@ -154,12 +154,12 @@
         assert_eq!(standing(), Some(route::Standing::Ejected));
 
         put(&rows, &format!("engines {address} started=200"));
-        state("it started again", 200, false).await;
-        assert_eq!(standing(), Some(route::Standing::Fit), "its failures were those of an earlier life");
+        state("the upstream restarted", 200, false).await;
+        assert_eq!(standing(), Some(route::Standing::Fit), "the failures before the restart still count");
 
         put(&rows, &format!("engines {address} leaving started=100"));
         exec::sleep(Duration::from_millis(300)).await;
-        state("an earlier life's entry came late", 200, false).await;
+        state("an entry from before the restart was applied", 200, false).await;
     });
 }
 
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn evacuations_are_followed_through_outages_a_lost_history_and_a_restart() {
+fn evacuations_are_followed_across_outages_a_lost_history_and_a_restart() {
     exec::block_on(async {
         let rows = TableRows::default();
         operator(&rows, "manifest", "1");
@@ -188,19 +188,19 @@
         operator(&rows, "evacuated nowhere", "not what it should be");
         evacuated(&first, "two rows", &["here", "nowhere"]).await;
         rows.drop_row("operator", "", "evacuated nowhere");
-        evacuated(&first, "one is taken back", &["here"]).await;
+        evacuated(&first, "one data centre is restored", &["here"]).await;
 
         outage(&rows, || {
             rows.drop_row("operator", "", "evacuated here");
             operator(&rows, "evacuated there", "{}");
         })
         .await;
-        evacuated(&first, "changes in an outage", &["there"]).await;
+        evacuated(&first, "changes during an outage", &["there"]).await;
 
         rows.set_fault(RowsFault::HistoryGone);
         rows.drop_row("operator", "", "evacuated there");
         operator(&rows, "evacuated here", "{}");
-        evacuated(&first, "after a whole read", &["here"]).await;
+        evacuated(&first, "after a full read", &["here"]).await;
         rows.set_fault(RowsFault::None);
         assert_eq!(first.metrics.data_centres_evacuated.get(), 1);
 
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn an_older_row_takes_no_data_centre_back() {
+fn an_older_row_restores_no_data_centre() {
     let rows = TableRows::default();
     let node = node("vm-1", 1, &rows);
     let mut evacuations = Evacuations::default();
@@ -224,13 +224,13 @@
     evacuations.apply(&node, &record(7, Some("{}")));
     evacuations.apply(&node, &record(5, None));
     evacuations.apply_all(&node, &Page { version: 6, ..Page::default() });
-    assert!(node.places().evacuated().eq(["here"]), "a stale read");
+    assert!(node.places().evacuated().eq(["here"]), "a stale read restored a data centre");
     evacuations.apply_all(&node, &Page { version: 8, ..Page::default() });
     assert_eq!(node.places().evacuated().count(), 0);
 }
 
 #[test]
-fn an_upstream_that_warms_up_is_known_by_its_entry() {
+fn an_entry_tells_that_its_upstream_is_warming_up() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 2);
@@ -243,7 +243,10 @@
         let address = node.listings()["engine-1"].address;
         put(&rows, &format!("narrator {address} warmup=700"));
         exec::sleep(Duration::from_millis(300)).await;
-        assert!(!node.places().has_room("engine-1", node.now()), "this gateway is on no list yet");
+        assert!(
+            !node.places().has_room("engine-1", node.now()),
+            "a gateway that is on no list yet has no part of the requests"
+        );
         assert!(node.places().has_room("engine-0", node.now()));
         exec::sleep(Duration::from_millis(700)).await;
         assert!(node.places().has_room("engine-1", node.now()));
@@ -251,7 +254,7 @@
 }
 
 #[test]
-fn a_store_that_forgets_at_once_is_not_read_as_fast_as_it_answers() {
+fn a_store_that_loses_its_history_at_once_is_not_read_in_a_tight_loop() {
     exec::block_on(async {
         let rows = TableRows::default();
         list(&rows, 3);
