--- a/crates/gateway/src/failover.rs
+++ b/crates/gateway/src/failover.rs
@@ -115,7 +115,7 @@
 
     /// Makes a call directly, or has another gateway make it.
     ///
-    /// A write is made only once. If its outcome is unknown, the caller has to find it out.
+    /// A write with an unknown outcome is not repeated; the caller has to determine whether it was applied.
     async fn call<T: DeserializeOwned>(
         &self,
         step: &'static str,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -106,15 +106,15 @@
 pub async fn start<W: Wire, S: Rows>(settings: Settings, wire: W, rows: S) -> io::Result<Running<W, S>> {
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_micros() as u64);
     let listen = settings.listen.clone();
-    let (note, noted) = async_channel::bounded(1);
-    let node = Arc::new(Node::new(settings, incarnation, wire, rows, note));
+    let (note_requests, requested_notes) = async_channel::bounded(1);
+    let node = Arc::new(Node::new(settings, incarnation, wire, rows, note_requests));
     exec::spawn(watch::follow_manifest(node.clone())).detach();
     exec::spawn(watch::follow_upstreams(node.clone())).detach();
     exec::spawn(watch::follow_recalls(node.clone())).detach();
     exec::spawn(hints::run(node.clone())).detach();
     exec::spawn(members::run(node.clone())).detach();
     exec::spawn(quarantine::run(node.clone())).detach();
-    exec::spawn(notes::run(node.clone(), noted)).detach();
+    exec::spawn(notes::run(node.clone(), requested_notes)).detach();
     exec::spawn(load::run(node.clone())).detach();
     exec::spawn(sweep(node.clone())).detach();
 
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -52,7 +52,7 @@
 /// The bytes of an answer per byte of a row: rows are encoded in base64.
 const BASE64_FACTOR: f64 = 4.0 / 3.0;
 /// An answer of at least this size contains a change, in bytes: an empty one has a hundred.
-const CHANGE_BYTES: u64 = 512;
+const MIN_CHANGE_BYTES: u64 = 512;
 
 /// The state of following a table.
 struct Follower {
@@ -124,8 +124,8 @@
     if let Some(delay) = follower.delay.take() {
         exec::sleep(delay).await;
     }
-    // After an outage, changes are requested without waiting. The gateways don't all read the whole table at
-    // once.
+    // After an outage, the changes during it are requested without waiting. If all gateways read the full
+    // table instead, they would do so at the same time.
     let wait_ms = if follower.lost_at.is_some() { 0 } else { wait_ms };
     let result = match follower.after {
         None => rows.list(table, "").await.map(Step::Full),
@@ -193,7 +193,7 @@
 
 /// Whether `read` is receiving a newer manifest, which may allow what the current one does not know.
 pub(crate) fn is_receiving_manifest(read: &Progress) -> bool {
-    read.bytes() >= CHANGE_BYTES
+    read.bytes() >= MIN_CHANGE_BYTES
 }
 
 /// Follows the other gateways' recalls of idle tokens.
