--- a/src/cmd/ctl/quarantine.rs
+++ b/src/cmd/ctl/quarantine.rs
@@ -60,8 +60,8 @@
     }
 }
 
-fn rows(settings: &Path) -> Result<::platform::Http, Error> {
-    Ok(::platform::Http::new(read_gateway_settings(settings)?.store))
+fn rows(settings: &Path) -> Result<::platform::HttpRows, Error> {
+    Ok(::platform::HttpRows::new(read_gateway_settings(settings)?.store))
 }
 
 fn as_text(denial: &Denial) -> String {
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -22,9 +22,9 @@
         logs::start(std::io::stdout(), log::LevelFilter::Info);
         net::exec::start(settings.threads);
         net::exec::block_on(async {
-            let rows = platform::Http::new(settings.store);
+            let rows = platform::HttpRows::new(settings.store);
             net::exec::spawn(follow_reloads(path, settings.clone())).detach();
-            let running = gateway::start(settings, platform::Names, rows)
+            let running = gateway::start(settings, platform::PlatformWire, rows)
                 .await
                 .map_err(|source| Error::Run { step: "start the gateway", source })?;
             net::signal::terminated()
