--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -4,11 +4,11 @@
 //! engine tells what became of it (I6).
 
 use crate::clock::Clock;
-use crate::flight::{End, Head};
 use crate::job::{FAILED_RETRY_MS, Job};
 use crate::ports::Ports;
 use crate::refusal::{Execution, Refusal};
 use crate::settings::millis;
+use crate::shared_answer::{End, Head};
 use crate::slot::{self, Slot};
 use budget::ledger::Charge;
 use bundle::Model;
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -4,13 +4,13 @@
 //! back; it names the request, so a router recognises its own claim.
 
 use crate::clock::Clock;
-use crate::flight::Flight;
 use crate::forward;
 use crate::front::Entry;
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::refusal::{Execution, Refusal};
 use crate::settings::millis;
+use crate::shared_answer::Flight;
 use crate::sync::identity_key;
 use budget::claim::{Answer, Claim, Next, State, decide};
 use http::request::Parts;
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -1,12 +1,12 @@
 //! The callers' listener: who asks, for what, and whether the same was asked before.
 
-use crate::ask::Ask;
 use crate::clock::Clock;
-use crate::flight::{Flight, Found};
 use crate::job::{self, Job};
+use crate::model_request::Ask;
 use crate::node::{Access, InForce, Node, Phase};
 use crate::ports::Ports;
 use crate::refusal::Refusal;
+use crate::shared_answer::{Flight, Found};
 use crate::{forward, service};
 use bundle::hash_key;
 use http::header::AUTHORIZATION;
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -4,16 +4,16 @@
 //! certainly not started or certainly stopped; one that may not is tried elsewhere only when the engine says
 //! that it never saw the run and never will (I3, I4).
 
-use crate::ask::Ask;
 use crate::attempt::{Next, Tries};
 use crate::claims::{self, Gate};
 use crate::clock::Clock;
-use crate::flight::Flight;
 use crate::front::Entry;
+use crate::model_request::Ask;
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::refusal::Refusal;
 use crate::reserve::reserve;
+use crate::shared_answer::Flight;
 use crate::slot::{self, Slot};
 use bundle::Model;
 use http::StatusCode;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -14,11 +14,9 @@
 //! ```
 
 mod admin;
-mod ask;
 mod attempt;
 mod claims;
 mod clock;
-mod flight;
 mod forward;
 mod front;
 mod grants;
@@ -28,6 +26,7 @@
 mod link;
 mod membership;
 mod metrics;
+mod model_request;
 mod node;
 mod ports;
 mod record;
@@ -36,6 +35,7 @@
 mod schedule;
 mod service;
 mod settings;
+mod shared_answer;
 mod slot;
 mod steer;
 mod sync;
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,7 +1,6 @@
 //! One router: its state, and the tasks that run on it.
 
 use crate::clock::Clock;
-use crate::flight::Flights;
 use crate::grants::Grants;
 use crate::keep::Keep;
 use crate::link::Hints;
@@ -10,6 +9,7 @@
 use crate::record::{Record, Records, Step};
 use crate::schedule::Schedule;
 use crate::settings::{Settings, millis};
+use crate::shared_answer::Flights;
 use crate::slot::Loans;
 use crate::{admin, front, leaving, link, membership, steer, sync};
 use async_channel::Sender;
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -5,7 +5,6 @@
 //! a model request is.
 
 use crate::claims::{self, Gate};
-use crate::flight::Flight;
 use crate::forward;
 use crate::front::{Entry, join, read_body};
 use crate::job;
@@ -13,6 +12,7 @@
 use crate::ports::Ports;
 use crate::refusal::{Execution, Refusal};
 use crate::reserve::reserve;
+use crate::shared_answer::Flight;
 use budget::ledger::Charge;
 use bundle::Service;
 use http::header::{AUTHORIZATION, CONTENT_LENGTH};
--- a/crates/router/src/slot.rs
+++ b/crates/router/src/slot.rs
@@ -5,9 +5,9 @@
 //! lender counts a lent slot as taken until it is given back, so the limit of an upstream holds whatever is
 //! lost on the way.
 
-use crate::ask::Ask;
 use crate::clock::Clock;
 use crate::front::Entry;
+use crate::model_request::Ask;
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::refusal::Refusal;
