--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -17,7 +17,7 @@
 /// Bytes of a proof.
 const PROOF: usize = 32;
 /// The fewest bytes of a key.
-const KEY_LEAST: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 
 /// A secret shared by the routers of a fleet.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
 
 /// A fleet key that is too short.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("a fleet key has at least {KEY_LEAST} bytes, this one has {0}")]
+#[error("a fleet key has at least {MIN_KEY_BYTES} bytes, this one has {0}")]
 pub struct KeyError(usize);
 
 impl FleetKey {
@@ -40,7 +40,7 @@
     /// # Errors
     /// Fails if it is shorter than 16 bytes.
     pub fn new(text: &str) -> Result<FleetKey, KeyError> {
-        if text.len() < KEY_LEAST {
+        if text.len() < MIN_KEY_BYTES {
             return Err(KeyError(text.len()));
         }
         Ok(FleetKey(text.as_bytes().to_vec()))
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,13 +1,13 @@
 //! What routers say to each other: heartbeats, loans of tokens, bundle sections, hints on requests.
 //!
-//! [`View`] decides who is alive and whom to send heartbeats to; [`Handler`] is what every router
+//! [`FleetView`] decides who is alive and whom to send heartbeats to; [`Handler`] is what every router
 //! offers; [`Peers`] calls it at others and [`listen`] offers it. Both ends prove that they know a fleet
 //! key before the first message.
 //!
 //! ```
-//! let mut view = peer::View::new("vm-1");
-//! view.list(&[peer::Member::new("vm-2", "127.0.0.1:7002".parse().unwrap())], 0);
-//! assert_eq!(view.targets(6), ["vm-2"]);
+//! let mut view = peer::FleetView::new("vm-1");
+//! view.update_listed(&[peer::Member::new("vm-2", "127.0.0.1:7002".parse().unwrap())], 0);
+//! assert_eq!(view.heartbeat_targets(6), ["vm-2"]);
 //! ```
 
 mod auth;
@@ -16,7 +16,9 @@
 mod view;
 
 pub use auth::{FleetKey, KeyError};
-pub use link::{Beat, Borrow, Handler, Lent, LinkClient, SlotAsk, Standing, Whereabouts};
+pub use link::{
+    BorrowReply, BorrowRequest, BundleStatus, Handler, Heartbeat, LinkClient, RunLocation, SlotRequest,
+};
 pub use tarpc::context::Context;
 pub use transport::{Error, Peers, listen};
-pub use view::{Member, State, View};
+pub use view::{FleetView, Member, MemberState};
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -6,7 +6,7 @@
 
 /// A heartbeat; the answer to one is one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's VM.
     pub name: String,
     /// Grows whenever the VM's process starts.
@@ -29,7 +29,7 @@
 
 /// A request for a loan of tokens. Repeating it with the same `id` lends nothing more.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Borrow {
+pub struct BorrowRequest {
     /// Names this request; unique in the fleet.
     pub id: String,
     /// The budget.
@@ -38,9 +38,9 @@
     pub tokens: u64,
 }
 
-/// The answer to [`Borrow`]: tokens that the lender no longer has.
+/// The answer to [`BorrowRequest`]: tokens that the lender no longer has.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Lent {
+pub struct BorrowReply {
     /// The tokens.
     pub tokens: u64,
 }
@@ -48,7 +48,7 @@
 /// A request for a slot of an upstream that the peer owns. Repeating it with the same `id` takes no second
 /// one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// Names this request; unique in the fleet.
     pub id: String,
     /// The borrower, with its incarnation.
@@ -73,7 +73,7 @@
 
 /// Where a request with an idempotency key is being run, or was.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Whereabouts {
+pub struct RunLocation {
     /// The budget and the key.
     pub key: String,
     /// The router, with its incarnation.
@@ -84,7 +84,7 @@
 
 /// Which bundle a router has in force, for operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Standing {
+pub struct BundleStatus {
     /// The VM.
     pub name: String,
     /// The sequence in force; 0 if there is none.
@@ -97,19 +97,19 @@
 #[tarpc::service]
 pub trait Link {
     /// Exchanges heartbeats.
-    async fn beat(beat: Beat) -> Beat;
+    async fn beat(beat: Heartbeat) -> Heartbeat;
     /// Lends tokens.
-    async fn borrow(ask: Borrow) -> Lent;
+    async fn borrow(ask: BorrowRequest) -> BorrowReply;
     /// Hands out parts of the bundle in force by digest.
     async fn fetch(digests: Vec<String>) -> Vec<Option<String>>;
     /// Notes where a request runs; a hint that may be lost.
-    async fn announce(whereabouts: Whereabouts);
+    async fn announce(whereabouts: RunLocation);
     /// Finds where a request runs, if this router was told.
-    async fn locate(key: String) -> Option<Whereabouts>;
+    async fn locate(key: String) -> Option<RunLocation>;
     /// Tells which bundle is in force.
-    async fn standing() -> Standing;
+    async fn standing() -> BundleStatus;
     /// Lends a slot, as soon as one is free; names its upstream.
-    async fn slot(ask: SlotAsk) -> Option<String>;
+    async fn slot(ask: SlotRequest) -> Option<String>;
     /// Takes a slot back, or a request for one that still waits.
     async fn free(id: String, failed: bool);
     /// Hints that an upstream which the receiver owns is leaving.
@@ -123,19 +123,19 @@
 /// What a router does with the calls of others; all but a request for a slot is answered at once.
 pub trait Handler: Clone + Send + Sync + 'static {
     /// Takes in a heartbeat and answers with the router's own.
-    fn beat(&self, beat: Beat) -> Beat;
+    fn beat(&self, beat: Heartbeat) -> Heartbeat;
     /// Lends tokens.
-    fn borrow(&self, ask: Borrow) -> Lent;
+    fn borrow(&self, ask: BorrowRequest) -> BorrowReply;
     /// Hands out parts of the bundle in force by digest.
     fn fetch(&self, digests: &[String]) -> Vec<Option<String>>;
     /// Notes where a request runs.
-    fn announce(&self, whereabouts: Whereabouts);
+    fn announce(&self, whereabouts: RunLocation);
     /// Finds where a request runs.
-    fn locate(&self, key: &str) -> Option<Whereabouts>;
+    fn locate(&self, key: &str) -> Option<RunLocation>;
     /// Tells which bundle is in force.
-    fn standing(&self) -> Standing;
+    fn standing(&self) -> BundleStatus;
     /// Lends a slot, as soon as one is free; names its upstream.
-    fn slot(&self, ask: SlotAsk) -> impl Future<Output = Option<String>> + Send;
+    fn slot(&self, ask: SlotRequest) -> impl Future<Output = Option<String>> + Send;
     /// Takes a slot back, or a request for one that still waits.
     fn free(&self, id: &str, failed: bool);
     /// Takes in a hint that an upstream is leaving.
@@ -151,11 +151,11 @@
 pub(crate) struct Server<H>(pub(crate) H);
 
 impl<H: Handler> Link for Server<H> {
-    async fn beat(self, _: Context, beat: Beat) -> Beat {
+    async fn beat(self, _: Context, beat: Heartbeat) -> Heartbeat {
         self.0.beat(beat)
     }
 
-    async fn borrow(self, _: Context, ask: Borrow) -> Lent {
+    async fn borrow(self, _: Context, ask: BorrowRequest) -> BorrowReply {
         self.0.borrow(ask)
     }
 
@@ -163,19 +163,19 @@
         self.0.fetch(&digests)
     }
 
-    async fn announce(self, _: Context, whereabouts: Whereabouts) {
+    async fn announce(self, _: Context, whereabouts: RunLocation) {
         self.0.announce(whereabouts);
     }
 
-    async fn locate(self, _: Context, key: String) -> Option<Whereabouts> {
+    async fn locate(self, _: Context, key: String) -> Option<RunLocation> {
         self.0.locate(&key)
     }
 
-    async fn standing(self, _: Context) -> Standing {
+    async fn standing(self, _: Context) -> BundleStatus {
         self.0.standing()
     }
 
-    async fn slot(self, _: Context, ask: SlotAsk) -> Option<String> {
+    async fn slot(self, _: Context, ask: SlotRequest) -> Option<String> {
         self.0.slot(ask).await
     }
 
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -181,7 +181,7 @@
     }
 
     async fn client(&self, peer: SocketAddr) -> io::Result<LinkClient> {
-        match self.clients.lock().expect("the clients' lock").get(&peer) {
+        match self.clients.lock().expect("no thread panics while it holds the lock").get(&peer) {
             Some(Connection::Open(client)) => return Ok(client.clone()),
             Some(Connection::Failed(until)) if Instant::now() < *until => {
                 return Err(io::Error::new(io::ErrorKind::HostUnreachable, "it did not answer a moment ago"));
@@ -197,13 +197,16 @@
             let _ = dispatch.await;
         }))
         .detach();
-        self.clients.lock().expect("the clients' lock").insert(peer, Connection::Open(client.clone()));
+        self.clients
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .insert(peer, Connection::Open(client.clone()));
         Ok(client)
     }
 
     /// Drops the connection to a peer that failed, and lets the peer rest.
     fn rest(&self, peer: SocketAddr) {
-        let mut clients = self.clients.lock().expect("the clients' lock");
+        let mut clients = self.clients.lock().expect("no thread panics while it holds the lock");
         if let Some(Connection::Failed(until)) = clients.get(&peer)
             && Instant::now() < *until
         {
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -3,7 +3,7 @@
 //! Each router sends heartbeats to a bounded number of others, its successors on a ring of hashed names, so
 //! the traffic of a node does not grow with the fleet.
 
-use crate::link::Beat;
+use crate::link::Heartbeat;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
@@ -15,7 +15,7 @@
 
 /// What is thought of a router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum State {
+pub enum MemberState {
     /// It sends heartbeats, or is listed and was not asked yet.
     Alive,
     /// It has been silent; it may be cut off.
@@ -40,7 +40,7 @@
     /// Whether it said that it is stopping.
     pub stopping: bool,
     listed: bool,
-    heard: Option<u64>,
+    last_heartbeat: Option<u64>,
     silent_since: Option<u64>,
 }
 
@@ -55,54 +55,54 @@
             sequence: 0,
             stopping: false,
             listed: true,
-            heard: None,
+            last_heartbeat: None,
             silent_since: None,
         }
     }
 
     /// What is thought of it at time `now` in milliseconds.
-    pub fn state(&self, now: u64) -> State {
+    pub fn state(&self, now: u64) -> MemberState {
         if self.stopping {
-            return State::Gone;
+            return MemberState::Gone;
         }
         match self.silent_since.map(|since| now.saturating_sub(since)) {
-            Some(GONE_AFTER..) => State::Gone,
-            Some(SUSPECT_AFTER..) => State::Suspect,
-            _ => State::Alive,
+            Some(GONE_AFTER..) => MemberState::Gone,
+            Some(SUSPECT_AFTER..) => MemberState::Suspect,
+            _ => MemberState::Alive,
         }
     }
 }
 
 /// The fleet as one router sees it.
 #[derive(Clone, Debug)]
-pub struct View {
-    me: String,
+pub struct FleetView {
+    own_name: String,
     members: BTreeMap<String, Member>,
 }
 
-impl View {
+impl FleetView {
     /// The view of router `me`, which knows nobody yet.
-    pub fn new(me: &str) -> View {
-        View { me: me.to_owned(), members: BTreeMap::new() }
+    pub fn new(own_name: &str) -> FleetView {
+        FleetView { own_name: own_name.to_owned(), members: BTreeMap::new() }
     }
 
     /// Takes in the platform's list of other routers.
-    pub fn list(&mut self, listed: &[Member], now: u64) {
+    pub fn update_listed(&mut self, listed: &[Member], now: u64) {
         for member in self.members.values_mut() {
             member.listed = listed.iter().any(|one| one.name == member.name);
         }
-        for one in listed.iter().filter(|one| one.name != self.me) {
+        for one in listed.iter().filter(|one| one.name != self.own_name) {
             let known = self.members.entry(one.name.clone()).or_insert_with(|| one.clone());
             if known.address != one.address {
                 *known = one.clone();
             }
         }
-        self.members.retain(|_, member| member.listed || member.state(now) != State::Gone);
+        self.members.retain(|_, member| member.listed || member.state(now) != MemberState::Gone);
     }
 
     /// Takes in a heartbeat; `true` if the router is new or restarted.
-    pub fn hear(&mut self, beat: &Beat, now: u64) -> bool {
-        if beat.name == self.me {
+    pub fn record_heartbeat(&mut self, beat: &Heartbeat, now: u64) -> bool {
+        if beat.name == self.own_name {
             return false;
         }
         let member = self
@@ -118,21 +118,21 @@
         member.incarnation = beat.incarnation;
         member.sequence = beat.sequence;
         member.stopping = beat.stopping;
-        member.heard = Some(now);
+        member.last_heartbeat = Some(now);
         member.silent_since = None;
         news
     }
 
     /// Notes that a heartbeat to `name` got no answer.
-    pub fn miss(&mut self, name: &str, now: u64) {
+    pub fn record_no_answer(&mut self, name: &str, now: u64) {
         if let Some(member) = self.members.get_mut(name) {
             member.silent_since.get_or_insert(now);
         }
     }
 
     /// The routers to send a heartbeat to: at most `count` successors on the ring.
-    pub fn targets(&self, count: usize) -> Vec<&str> {
-        let mine = xxh3_64(self.me.as_bytes());
+    pub fn heartbeat_targets(&self, count: usize) -> Vec<&str> {
+        let mine = xxh3_64(self.own_name.as_bytes());
         let mut ring: Vec<(u64, &str)> = self
             .members
             .keys()
@@ -143,7 +143,7 @@
     }
 
     /// The routers of a state.
-    pub fn members(&self, state: State, now: u64) -> impl Iterator<Item = &Member> {
+    pub fn members(&self, state: MemberState, now: u64) -> impl Iterator<Item = &Member> {
         self.members.values().filter(move |member| member.state(now) == state)
     }
 
@@ -154,17 +154,17 @@
 
     /// The names by which upstreams are shared out: this router and all that are listed or heard, suspects
     /// included, so that a partition makes nobody's share grow.
-    pub fn sharers(&self) -> Vec<&str> {
+    pub fn router_names(&self) -> Vec<&str> {
         let mut names: Vec<&str> = self.members.keys().map(String::as_str).collect();
-        names.push(&self.me);
+        names.push(&self.own_name);
         names.sort_unstable();
         names
     }
 
     /// The router that keeps the hint for `key`, if it is another one.
-    pub fn keeper(&self, key: &str, now: u64) -> Option<&Member> {
+    pub fn hint_router(&self, key: &str, now: u64) -> Option<&Member> {
         let score = |name: &str| xxh3_64(format!("{name}|{key}").as_bytes());
-        let best = self.members(State::Alive, now).max_by_key(|member| score(&member.name))?;
-        (score(&best.name) > score(&self.me)).then_some(best)
+        let best = self.members(MemberState::Alive, now).max_by_key(|member| score(&member.name))?;
+        (score(&best.name) > score(&self.own_name)).then_some(best)
     }
 }
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -6,7 +6,7 @@
 use http::{HeaderValue, Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use net::Body;
-use peer::State;
+use peer::MemberState;
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -28,7 +28,7 @@
     }
     match path {
         "/live" => reply(StatusCode::OK, &json!({"live": true})),
-        "/ready" => match unready(&node) {
+        "/ready" => match not_ready_reason(&node) {
             None => reply(StatusCode::OK, &json!({"ready": true})),
             Some(reason) => {
                 reply(StatusCode::SERVICE_UNAVAILABLE, &json!({"ready": false, "reason": reason}))
@@ -50,13 +50,13 @@
     }
 }
 
-fn unready<W: Ports>(node: &Node<W>) -> Option<&'static str> {
+fn not_ready_reason<W: Ports>(node: &Node<W>) -> Option<&'static str> {
     match node.phase() {
         Phase::Leaving | Phase::Draining => Some("it is stopping"),
         Phase::Serving if node.bundle().sequence == 0 => {
             Some("it has no bundle: neither the platform nor a peer has given one yet")
         }
-        Phase::Serving if !node.surveyed.load(Ordering::Relaxed) => {
+        Phase::Serving if !node.has_read_loads.load(Ordering::Relaxed) => {
             Some("it has not yet asked its upstreams for their load")
         }
         Phase::Serving => None,
@@ -79,14 +79,14 @@
         },
         "platform-up": node.is_platform_up(),
         "peers": {
-            "alive": names(State::Alive),
-            "suspect": names(State::Suspect),
-            "gone": names(State::Gone),
+            "alive": names(MemberState::Alive),
+            "suspect": names(MemberState::Suspect),
+            "gone": names(MemberState::Gone),
         },
-        "upstreams": node.schedule.view(),
+        "upstreams": node.schedule.upstream_statuses(),
         "waiting": node.schedule.waiting(),
-        "open": node.open.load(Ordering::Relaxed),
-        "budgets": node.grants.view(),
+        "open": node.open_requests.load(Ordering::Relaxed),
+        "budgets": node.grants.views(),
     })
 }
 
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -19,37 +19,37 @@
 use upstream::{Call, Engine, Event, Events, Fault, Outcome, Reply, Usage};
 
 /// How often a stream is taken up again at the same engine.
-const RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 /// The pause before asking again what became of a lost run, at first and at most, in milliseconds.
-const ASK_AGAIN_MS: (u64, u64) = (250, 10_000);
+const OUTCOME_RETRY_MS: (u64, u64) = (250, 10_000);
 
 /// What to do after an attempt.
-pub(crate) enum Next {
+pub(crate) enum AttemptOutcome {
     /// The answer is complete and charged.
     Complete,
     /// The caller gets this refusal.
     Refuse(Refusal),
     /// The run certainly did not start, or was stopped: try elsewhere with the same reservation.
-    Elsewhere(String),
+    RetryReserved(String),
     /// The run consumed tokens, or may go on: trying elsewhere takes another reservation.
-    Anew(String, Execution),
+    RetryUnreserved(String, Execution),
 }
 
 /// The attempts of one request so far.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct Progress {
     /// When the request came, in milliseconds of the router's clock.
     pub arrived: u64,
     /// How many attempts were made.
-    pub number: u32,
+    pub attempts: u32,
     /// Upstreams that failed.
-    pub avoid: Vec<String>,
+    pub excluded: Vec<String>,
     /// What earlier attempts did.
     pub execution: Execution,
 }
 
 /// A run that was sent to an engine.
-struct Sent {
+struct StartedRun {
     run: String,
     slot: Slot,
     peer: SocketAddr,
@@ -57,125 +57,143 @@
 
 impl<W: Ports> Job<W> {
     /// Runs the request at one upstream.
-    pub(crate) async fn attempt(&self, model: &Model, slot: Slot, tries: &Tries) -> Next {
+    pub(crate) async fn attempt(&self, model: &Model, slot: Slot, progress: &Progress) -> AttemptOutcome {
         let node = &self.node;
-        let Some(upstream) = self.entry.bundle.content.upstreams.get(&slot.upstream) else {
+        let Some(upstream) = self.admitted.bundle.content.upstreams.get(&slot.upstream) else {
             let why = format!("{} is not in the bundle", slot.upstream);
-            slot::end(node, slot);
-            return Next::Elsewhere(why);
+            slot::release(node, slot);
+            return AttemptOutcome::RetryReserved(why);
+        };
+        let started_run = StartedRun {
+            run: format!("{}-{}", self.admitted.id, progress.attempts),
+            peer: upstream.address,
+            slot,
         };
-        let sent = Sent { run: format!("{}-{}", self.entry.id, tries.number), peer: upstream.address, slot };
         let call = Call {
-            run: sent.run.clone(),
+            run: started_run.run.clone(),
             path: self.path.clone(),
             body: self.ask.body.clone(),
             priority: model.priority,
         };
-        let started = async { Some(node.engine.start(sent.peer, &call).await) };
-        let gone = async {
-            self.flight.abandoned().await;
+        let starting = async { Some(node.engine.start(started_run.peer, &call).await) };
+        let caller_gone = async {
+            self.answer.abandoned().await;
             None
         };
-        let next = match Box::pin(smol::future::or(started, gone)).await {
-            None => return Box::pin(self.abandon(sent)).await,
-            Some(Ok(Reply::Refused { status, body })) => self.refused(&sent, status, &body),
-            Some(Ok(Reply::Whole(bytes))) => self.whole(&sent, bytes),
-            Some(Ok(Reply::Stream(events))) => return self.pump(model, sent, events, tries.arrived).await,
+        let outcome = match Box::pin(smol::future::or(starting, caller_gone)).await {
+            None => return Box::pin(self.cancel_abandoned(started_run)).await,
+            Some(Ok(Reply::Refused { status, body })) => self.handle_refusal(&started_run, status, &body),
+            Some(Ok(Reply::Whole(bytes))) => self.complete_answer(&started_run, bytes),
+            Some(Ok(Reply::Stream(events))) => {
+                return self.relay_stream(model, started_run, events, progress.arrived).await;
+            }
             Some(Err(error)) => {
-                self.note_failure(&sent, &error.to_string());
+                self.record_run_failure(&started_run, &error.to_string());
                 match error.fault {
-                    Fault::NotRun => Next::Elsewhere(error.to_string()),
-                    Fault::Unknown => return Box::pin(self.stop_lost(model, sent, error.to_string())).await,
+                    Fault::NotRun => AttemptOutcome::RetryReserved(error.to_string()),
+                    Fault::Unknown => {
+                        return Box::pin(self.cancel_uncertain(model, started_run, error.to_string())).await;
+                    }
                 }
             }
         };
-        slot::end(node, sent.slot);
-        next
+        slot::release(node, started_run.slot);
+        outcome
     }
 
-    fn note_failure(&self, sent: &Sent, reason: &str) {
-        self.node.note(&self.entry.id, format!("{} failed: {reason}", sent.slot.upstream));
-        log::warn!("upstream: request={} run={} {reason}", self.entry.id, sent.run);
-        sent.slot.fail();
-        if self.node.schedule.fail(&sent.slot.upstream) {
+    fn record_run_failure(&self, started_run: &StartedRun, reason: &str) {
+        self.node.record_step(&self.admitted.id, format!("{} failed: {reason}", started_run.slot.upstream));
+        log::warn!("upstream: request={} run={} {reason}", self.admitted.id, started_run.run);
+        started_run.slot.mark_failed();
+        if self.node.schedule.record_failure(&started_run.slot.upstream) {
             self.node.metrics.ejections.inc();
-            log::warn!("upstream: {} is ejected after failures in a row", sent.slot.upstream);
+            log::warn!("upstream: {} is ejected after failures in a row", started_run.slot.upstream);
         }
     }
 
     /// The engine refused the run before it did any work.
-    fn refused(&self, sent: &Sent, status: u16, body: &Bytes) -> Next {
+    fn handle_refusal(&self, started_run: &StartedRun, status: u16, body: &Bytes) -> AttemptOutcome {
         let text = String::from_utf8_lossy(body).into_owned();
         if matches!(status, 404 | 408 | 409 | 429 | 503) {
-            self.note_failure(sent, &format!("refused with status {status}"));
-            return Next::Elsewhere(format!("{} refused with status {status}", sent.slot.upstream));
+            self.record_run_failure(started_run, &format!("refused with status {status}"));
+            return AttemptOutcome::RetryReserved(format!(
+                "{} refused with status {status}",
+                started_run.slot.upstream
+            ));
         }
-        self.node.grants.release(&self.entry.access.budget, self.ask.worst);
+        self.node.grants.release(&self.admitted.access.budget, self.ask.max_tokens);
         let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
         let message = format!("the upstream does not accept the request: {text}");
-        Next::Refuse(Refusal::not_run(status, "upstream_rejected", "dispatch", message))
+        AttemptOutcome::Refuse(Refusal::not_run(status, "upstream_rejected", "dispatch", message))
     }
 
-    fn whole(&self, sent: &Sent, bytes: Bytes) -> Next {
+    fn complete_answer(&self, started_run: &StartedRun, bytes: Bytes) -> AttemptOutcome {
         let usage = std::str::from_utf8(&bytes).ok().and_then(Usage::find);
         // An answer that reports no usage is charged at its worst case.
-        let tokens = usage.map_or(self.ask.worst, |usage| usage.total());
+        let tokens = usage.map_or(self.ask.max_tokens, |usage| usage.total());
         self.charge(tokens);
-        self.node.schedule.succeed(&sent.slot.upstream, None);
-        self.flight.begin(Head {
+        self.node.schedule.record_success(&started_run.slot.upstream, None);
+        self.answer.begin(Head {
             status: StatusCode::OK,
             media: "application/json".to_owned(),
             execution: None,
             retry_after: None,
         });
-        self.flight.write(bytes);
-        self.flight.end(End::Complete);
-        Next::Complete
+        self.answer.write(bytes);
+        self.answer.end(End::Complete);
+        AttemptOutcome::Complete
     }
 
     /// Turns the reservation into the request's one charge.
     fn charge(&self, tokens: u64) {
         let node = &self.node;
-        let excess = node.grants.charge(&self.entry.access.budget, self.ask.worst, self.bill(tokens));
+        let excess =
+            node.grants.charge(&self.admitted.access.budget, self.ask.max_tokens, self.charge_of(tokens));
         if excess > 0 {
             node.metrics.excess.inc_by(excess);
             log::error!(
                 "budget: request={} an upstream reported {excess} tokens above the reservation",
-                self.entry.id
+                self.admitted.id
             );
         }
         let charged = tokens - excess;
         node.metrics.charged.inc_by(charged);
         log::info!(
             "budget: request={} charged {charged} tokens to {}",
-            self.entry.id,
-            self.entry.access.budget
+            self.admitted.id,
+            self.admitted.access.budget
         );
-        node.records.note(&self.entry.id, |record| record.charge = Some(charged));
+        node.records.update(&self.admitted.id, |record| record.charge = Some(charged));
     }
 
-    fn bill(&self, tokens: u64) -> Charge {
-        Charge { request: self.entry.id.clone(), key: self.entry.key.clone(), tokens }
+    fn charge_of(&self, tokens: u64) -> Charge {
+        Charge { request: self.admitted.id.clone(), key: self.admitted.key.clone(), tokens }
     }
 
     /// Passes a stream on, taking it up again where it breaks.
-    async fn pump(&self, model: &Model, sent: Sent, mut events: Events, arrived: u64) -> Next {
+    async fn relay_stream(
+        &self,
+        model: &Model,
+        started_run: StartedRun,
+        mut events: Events,
+        arrived: u64,
+    ) -> AttemptOutcome {
         let node = &self.node;
         let stall = millis(node.settings.limits.stall_ms);
-        let mut taken: u64 = 0;
+        let mut received: u64 = 0;
         let mut resumes = 0;
         let mut usage: Option<Usage> = None;
         let mut first_at = None;
         loop {
             let step = async { Some(events.next(stall).await) };
-            let gone = async {
-                self.flight.abandoned().await;
+            let caller_gone = async {
+                self.answer.abandoned().await;
                 None
             };
-            match smol::future::or(step, gone).await {
-                None => return Box::pin(self.abandon(sent)).await,
+            match smol::future::or(step, caller_gone).await {
+                None => return Box::pin(self.cancel_abandoned(started_run)).await,
                 Some(Ok(Event::Chunk(data))) => {
-                    taken += 1;
+                    received += 1;
                     if first_at.is_none() {
                         let now = node.clock.now();
                         first_at = Some(now);
@@ -185,41 +203,48 @@
                     let found = if data.contains("\"usage\":{") { Usage::find(&data) } else { None };
                     usage = found.or(usage);
                     if found.is_none() || self.ask.include_usage || !data.contains("\"choices\":[]") {
-                        self.flight.write(format!("data: {data}\n\n"));
+                        self.answer.write(format!("data: {data}\n\n"));
                     }
                 }
                 Some(Ok(Event::Done)) => {
-                    let counted = self.ask.prompt_bound + taken;
+                    let counted = self.ask.max_prompt_tokens + received;
                     self.charge(usage.map_or(counted, |usage| usage.total()));
-                    let gap = first_at.map(|at| (node.clock.now() - at) as f64 / taken.max(1) as f64);
-                    node.schedule.succeed(&sent.slot.upstream, gap);
-                    slot::end(node, sent.slot);
+                    let gap = first_at.map(|at| (node.clock.now() - at) as f64 / received.max(1) as f64);
+                    node.schedule.record_success(&started_run.slot.upstream, gap);
+                    slot::release(node, started_run.slot);
                     if first_at.is_none() {
                         self.begin_stream();
                     }
-                    self.flight.write("data: [DONE]\n\n");
-                    self.flight.end(End::Complete);
-                    return Next::Complete;
+                    self.answer.write("data: [DONE]\n\n");
+                    self.answer.end(End::Complete);
+                    return AttemptOutcome::Complete;
                 }
                 Some(Err(error)) => {
-                    self.note_failure(&sent, &error.to_string());
-                    let resumed = if taken > 0 && resumes < RESUMES {
-                        Box::pin(node.engine.resume(sent.peer, &sent.run, taken)).await.ok()
+                    self.record_run_failure(&started_run, &error.to_string());
+                    let reopened = if received > 0 && resumes < MAX_RESUMES {
+                        Box::pin(node.engine.resume(started_run.peer, &started_run.run, received)).await.ok()
                     } else {
                         None
                     };
-                    match resumed {
-                        Some(again) => {
+                    match reopened {
+                        Some(resumed) => {
                             resumes += 1;
                             node.metrics.resumes.inc();
-                            node.note(&self.entry.id, format!("taken up again after {taken} events"));
-                            log::info!("upstream: run={} taken up again after {taken} events", sent.run);
-                            events = again;
+                            node.record_step(
+                                &self.admitted.id,
+                                format!("taken up again after {received} events"),
+                            );
+                            log::info!(
+                                "upstream: run={} taken up again after {received} events",
+                                started_run.run
+                            );
+                            events = resumed;
                         }
-                        None if taken == 0 => {
-                            return Box::pin(self.stop_lost(model, sent, error.to_string())).await;
+                        None if received == 0 => {
+                            return Box::pin(self.cancel_uncertain(model, started_run, error.to_string()))
+                                .await;
                         }
-                        None => return Box::pin(self.break_off(sent, &error.to_string())).await,
+                        None => return Box::pin(self.abort_answer(started_run, &error.to_string())).await,
                     }
                 }
             }
@@ -227,7 +252,7 @@
     }
 
     fn begin_stream(&self) {
-        self.flight.begin(Head {
+        self.answer.begin(Head {
             status: StatusCode::OK,
             media: "text/event-stream".to_owned(),
             execution: None,
@@ -236,81 +261,86 @@
     }
 
     /// Ends an answer that can't be completed: an explicit error event, then an aborted body.
-    async fn break_off(&self, sent: Sent, reason: &str) -> Next {
+    async fn abort_answer(&self, started_run: StartedRun, reason: &str) -> AttemptOutcome {
         let node = &self.node;
-        match node.engine.cancel(sent.peer, &sent.run).await {
+        match node.engine.cancel(started_run.peer, &started_run.run).await {
             Ok(Outcome::Stopped(usage)) => {
                 self.charge(usage.total());
-                slot::end(node, sent.slot);
+                slot::release(node, started_run.slot);
             }
-            Ok(Outcome::Unseen) | Err(_) => self.hold(sent, Some(self.bill(0))),
+            Ok(Outcome::Unseen) | Err(_) => self.hold_until_known(started_run, Some(self.charge_of(0))),
         }
         let message = format!("the answer broke off at the upstream: {reason}");
         let refusal = Refusal::not_run(StatusCode::BAD_GATEWAY, "upstream_broke", "stream", message)
             .execution(Execution::Ran);
-        self.flight.write(format!("event: error\ndata: {}\n\n", refusal.json(&self.entry.id)));
-        self.flight.end(End::Broken(refusal.code.to_owned()));
-        Next::Refuse(refusal)
+        self.answer.write(format!("event: error\ndata: {}\n\n", refusal.json(&self.admitted.id)));
+        self.answer.end(End::Broken(refusal.code.to_owned()));
+        AttemptOutcome::Refuse(refusal)
     }
 
     /// Stops a run whose caller went away; what it consumed is charged.
-    async fn abandon(&self, sent: Sent) -> Next {
+    async fn cancel_abandoned(&self, started_run: StartedRun) -> AttemptOutcome {
         let node = &self.node;
-        node.note(&self.entry.id, "the caller went away");
-        let execution = match node.engine.cancel(sent.peer, &sent.run).await {
+        node.record_step(&self.admitted.id, "the caller went away");
+        let execution = match node.engine.cancel(started_run.peer, &started_run.run).await {
             Ok(Outcome::Stopped(usage)) => {
                 self.charge(usage.total());
-                slot::end(node, sent.slot);
+                slot::release(node, started_run.slot);
                 Execution::Ran
             }
             Ok(Outcome::Unseen) => {
-                node.grants.release(&self.entry.access.budget, self.ask.worst);
-                slot::end(node, sent.slot);
+                node.grants.release(&self.admitted.access.budget, self.ask.max_tokens);
+                slot::release(node, started_run.slot);
                 Execution::NotRun
             }
             Err(_) => {
-                self.hold(sent, Some(self.bill(0)));
+                self.hold_until_known(started_run, Some(self.charge_of(0)));
                 Execution::Unknown
             }
         };
-        let refusal = Refusal::bad("stream", "caller_gone", "the caller went away");
-        Next::Refuse(refusal.execution(execution))
+        let refusal = Refusal::bad_request("stream", "caller_gone", "the caller went away");
+        AttemptOutcome::Refuse(refusal.execution(execution))
     }
 
     /// Decides after a failure that leaves open whether the run goes on, before any of it was passed on.
-    async fn stop_lost(&self, model: &Model, sent: Sent, reason: String) -> Next {
+    async fn cancel_uncertain(
+        &self,
+        model: &Model,
+        started_run: StartedRun,
+        reason: String,
+    ) -> AttemptOutcome {
         let node = &self.node;
-        let budget = &self.entry.access.budget;
+        let budget = &self.admitted.access.budget;
         let failed = |execution| {
             let message = format!("the upstream failed: {reason}");
             Refusal::not_run(StatusCode::BAD_GATEWAY, "upstream_failed", "dispatch", message)
                 .execution(execution)
                 .retry_after(FAILED_RETRY_MS)
         };
-        match node.engine.cancel(sent.peer, &sent.run).await {
+        match node.engine.cancel(started_run.peer, &started_run.run).await {
             Ok(Outcome::Unseen) => {
-                slot::end(node, sent.slot);
-                Next::Elsewhere(reason)
+                slot::release(node, started_run.slot);
+                AttemptOutcome::RetryReserved(reason)
             }
             Ok(Outcome::Stopped(usage)) if model.repeatable => {
                 // A new reservation is taken for the next run; what this one consumed stays held.
-                slot::end(node, sent.slot);
-                node.grants.waste(budget, self.ask.worst, usage.total());
+                slot::release(node, started_run.slot);
+                node.grants.write_off(budget, self.ask.max_tokens, usage.total());
                 node.metrics.wasted.inc_by(usage.total());
-                Next::Anew(reason, Execution::Ran)
+                AttemptOutcome::RetryUnreserved(reason, Execution::Ran)
             }
             Ok(Outcome::Stopped(usage)) => {
-                slot::end(node, sent.slot);
+                slot::release(node, started_run.slot);
                 self.charge(usage.total());
-                Next::Refuse(failed(Execution::Ran))
+                AttemptOutcome::Refuse(failed(Execution::Ran))
             }
             Err(_) if model.repeatable => {
-                self.hold(sent, None);
-                Next::Anew(reason, Execution::Unknown)
+                self.hold_until_known(started_run, None);
+                AttemptOutcome::RetryUnreserved(reason, Execution::Unknown)
             }
             Err(_) => {
-                self.hold(sent, Some(self.bill(0)));
-                Next::Refuse(failed(Execution::Unknown))
+                self.hold_until_known(started_run, Some(self.charge_of(0)));
+                AttemptOutcome::Refuse(failed(Execution::Unknown))
             }
         }
     }
@@ -318,22 +348,22 @@
     /// Keeps the reservation and the slot of a run whose end is not known, and asks the engine until it says
     /// what became of it. What it consumed is then charged by `bill`, or stays held if another run has
     /// served the request.
-    fn hold(&self, sent: Sent, bill: Option<Charge>) {
+    fn hold_until_known(&self, started_run: StartedRun, charge: Option<Charge>) {
         let node = self.node.clone();
-        let budget = self.entry.access.budget.clone();
-        let reserved = self.ask.worst;
-        let Sent { run, slot, peer } = sent;
-        node.grants.lose(&budget, reserved);
+        let budget = self.admitted.access.budget.clone();
+        let reserved = self.ask.max_tokens;
+        let StartedRun { run, slot, peer } = started_run;
+        node.grants.hold_unknown(&budget, reserved);
         node.metrics.unknown.add(reserved as i64);
         log::warn!(
             "budget: run={run} {reserved} tokens stay held until {} tells what became of it",
             slot.upstream
         );
         exec::spawn(async move {
-            let mut pause = ASK_AGAIN_MS.0;
-            while !node.is_closed() {
+            let mut pause = OUTCOME_RETRY_MS.0;
+            while !node.is_stopped() {
                 exec::sleep(millis(pause)).await;
-                pause = (pause * 2).min(ASK_AGAIN_MS.1);
+                pause = (pause * 2).min(OUTCOME_RETRY_MS.1);
                 let Ok(outcome) = node.engine.cancel(peer, &run).await else {
                     continue;
                 };
@@ -341,14 +371,14 @@
                     Outcome::Unseen => 0,
                     Outcome::Stopped(usage) => usage.total(),
                 };
-                let bill = bill.map(|bill| Charge { tokens, ..bill });
-                if bill.is_none() {
+                let charge = charge.map(|charge| Charge { tokens, ..charge });
+                if charge.is_none() {
                     node.metrics.wasted.inc_by(tokens);
                 }
-                node.grants.find(&budget, reserved, tokens, bill);
+                node.grants.resolve_unknown(&budget, reserved, tokens, charge);
                 node.metrics.unknown.sub(reserved as i64);
                 log::info!("budget: run={run} consumed {tokens} tokens, says {}", slot.upstream);
-                slot::end(&node, slot);
+                slot::release(&node, slot);
                 return;
             }
         })
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -5,12 +5,12 @@
 
 use crate::clock::Clock;
 use crate::forward;
-use crate::front::Entry;
+use crate::front::AdmittedRequest;
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::refusal::{Execution, Refusal};
 use crate::settings::millis;
-use crate::shared_answer::Flight;
+use crate::shared_answer::SharedAnswer;
 use crate::sync::identity_key;
 use budget::claim::{Answer, Claim, Next, State, decide};
 use http::request::Parts;
@@ -21,28 +21,33 @@
 use store::{Row, Table, Tx, Verdict};
 
 /// How long a claim is tried before the request is refused, in milliseconds.
-const CLAIM_MS: u64 = 2_000;
+const CLAIM_TIMEOUT_MS: u64 = 2_000;
 /// The pause between attempts, in milliseconds.
-const PAUSE_MS: u64 = 25;
+const RETRY_PAUSE_MS: u64 = 25;
 /// Attempts to record the answer of a finished request.
 const RECORD_ATTEMPTS: u32 = 40;
 
 /// What became of a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
-enum Claimed {
+enum ClaimResult {
     /// The request is this router's to dispatch.
-    Ours,
+    Granted,
     /// It ended before; this was the answer.
-    Before(Answer),
+    Answered(Answer),
     /// It is or was run under this claim.
-    By(Claim),
+    HeldBy(Claim),
 }
 
 /// Claims a request, or finds who did.
-async fn claim<W: Ports>(node: &Node<W>, budget: &str, key: &str, request: &str) -> Result<Claimed, Refusal> {
+async fn claim<W: Ports>(
+    node: &Node<W>,
+    budget: &str,
+    key: &str,
+    request: &str,
+) -> Result<ClaimResult, Refusal> {
     let row_key = identity_key("claim", budget, key);
     let claim = Claim { holder: node.holder.clone(), request: request.to_owned(), state: State::Claimed };
-    let deadline = node.clock.now() + CLAIM_MS;
+    let deadline = node.clock.now() + CLAIM_TIMEOUT_MS;
     let mut reason = String::new();
     // Until the claim is known to be absent, an earlier attempt under this key may have run elsewhere (I4).
     let mut execution = Execution::Unknown;
@@ -51,16 +56,16 @@
             Ok(row) => {
                 let read: Option<Claim> = row.as_ref().and_then(|row| row.decode().ok());
                 match decide(read.as_ref(), &node.holder, request) {
-                    Next::Dispatch => return Ok(Claimed::Ours),
-                    Next::Replay(answer) => return Ok(Claimed::Before(answer)),
-                    Next::Attach(claim) => return Ok(Claimed::By(claim)),
+                    Next::Dispatch => return Ok(ClaimResult::Granted),
+                    Next::Replay(answer) => return Ok(ClaimResult::Answered(answer)),
+                    Next::Attach(claim) => return Ok(ClaimResult::HeldBy(claim)),
                     Next::Insert => execution = Execution::NotRun,
                 }
                 let tx = Tx::default().absent(&row_key).put(&row_key, &claim);
                 match node.platform.commit(&tx).await {
                     Ok(Verdict::Applied) => {
-                        node.count_platform("claim", "applied");
-                        return Ok(Claimed::Ours);
+                        node.count_platform_call("claim", "applied");
+                        return Ok(ClaimResult::Granted);
                     }
                     Ok(Verdict::Conflict) => continue,
                     Err(error) => reason = error.to_string(),
@@ -68,15 +73,15 @@
             }
             Err(error) => reason = error.to_string(),
         }
-        node.count_platform("claim", "failed");
-        exec::sleep(millis(PAUSE_MS)).await;
+        node.count_platform_call("claim", "failed");
+        exec::sleep(millis(RETRY_PAUSE_MS)).await;
     }
     let message = format!(
         "this request may run only once and its claim could not be recorded ({reason}); ask again with the same key"
     );
     Err(Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "claim_unavailable", "claim", message)
         .execution(execution)
-        .retry_after(CLAIM_MS))
+        .retry_after(CLAIM_TIMEOUT_MS))
 }
 
 async fn read<W: Ports>(node: &Node<W>, key: &str) -> Result<Option<Row>, store::Error> {
@@ -85,7 +90,7 @@
 }
 
 /// Records the answer of a claimed request, so that it is given again and never run again.
-async fn finish<W: Ports>(node: &Node<W>, budget: &str, key: &str, request: &str, answer: Answer) {
+async fn record_answer<W: Ports>(node: &Node<W>, budget: &str, key: &str, request: &str, answer: Answer) {
     let row_key = identity_key("claim", budget, key);
     let claim =
         Claim { holder: node.holder.clone(), request: request.to_owned(), state: State::Done(answer) };
@@ -100,74 +105,79 @@
                 return;
             }
         }
-        exec::sleep(millis(PAUSE_MS << attempt.min(6))).await;
+        exec::sleep(millis(RETRY_PAUSE_MS << attempt.min(6))).await;
     }
     log::warn!("claim: request={request} the answer could not be recorded; a retry elsewhere learns unknown");
 }
 
 /// What to do with a request that may run only once.
-pub(crate) enum Gate {
+pub(crate) enum ClaimOutcome {
     /// Run it under this claim.
     Run(String),
     /// Give its recorded answer.
     Replay(Answer),
     /// Give the answer of the router that runs it.
-    Passed(Response<Body>),
+    Relayed(Response<Body>),
 }
 
 /// Claims a keyed request that may run only once, or finds its one answer.
-pub(crate) async fn gate<W: Ports>(
+pub(crate) async fn claim_or_find<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: &Entry,
+    admitted: &AdmittedRequest,
     head: &Parts,
     body: &Bytes,
-) -> Result<Gate, Refusal> {
-    let key = entry.key.as_deref().unwrap_or_default();
-    match claim(node, &entry.access.budget, key, &entry.id).await? {
-        Claimed::Ours => Ok(Gate::Run(entry.id.clone())),
-        Claimed::Before(answer) => Ok(Gate::Replay(answer)),
+) -> Result<ClaimOutcome, Refusal> {
+    let key = admitted.key.as_deref().unwrap_or_default();
+    match claim(node, &admitted.access.budget, key, &admitted.id).await? {
+        ClaimResult::Granted => Ok(ClaimOutcome::Run(admitted.id.clone())),
+        ClaimResult::Answered(answer) => Ok(ClaimOutcome::Replay(answer)),
         // This router took the claim for an earlier request that it certainly never dispatched.
-        Claimed::By(claim) if claim.holder == node.holder => {
-            match node.undispatched.lock().expect("the claims' lock").remove(&claim.request) {
-                true => Ok(Gate::Run(claim.request)),
-                false => Err(unknown(&claim.holder)),
+        ClaimResult::HeldBy(claim) if claim.holder == node.holder => {
+            match node
+                .undispatched_claims
+                .lock()
+                .expect("no thread panics while it holds the lock")
+                .remove(&claim.request)
+            {
+                true => Ok(ClaimOutcome::Run(claim.request)),
+                false => Err(unknown_outcome(&claim.holder)),
             }
         }
-        Claimed::By(claim) => {
-            let answer = match entry.forwarded {
+        ClaimResult::HeldBy(claim) => {
+            let answer = match admitted.forwarded {
                 true => None,
-                false => forward::pass_on(node, &claim.holder, head, body).await,
+                false => forward::forward_request(node, &claim.holder, head, body).await,
             };
-            answer.map(Gate::Passed).ok_or_else(|| unknown(&claim.holder))
+            answer.map(ClaimOutcome::Relayed).ok_or_else(|| unknown_outcome(&claim.holder))
         }
     }
 }
 
 /// Notes how a claimed request ended.
-pub(crate) async fn close<W: Ports>(
+pub(crate) async fn record_outcome<W: Ports>(
     node: &Node<W>,
-    entry: &Entry,
+    admitted: &AdmittedRequest,
     claim: String,
     result: &Result<(), Refusal>,
-    flight: &Flight,
+    shared: &SharedAnswer,
 ) {
     let not_run = matches!(result, Err(refusal) if refusal.execution == Execution::NotRun);
     if not_run {
-        node.undispatched.lock().expect("the claims' lock").insert(claim);
+        node.undispatched_claims.lock().expect("no thread panics while it holds the lock").insert(claim);
         return;
     }
-    if let (Some((head, body)), Some(key)) = (flight.whole(), &entry.key) {
+    if let (Some((head, body)), Some(key)) = (shared.complete(), &admitted.key) {
         let answer = Answer {
             status: head.status.as_u16(),
             media: head.media,
             body: String::from_utf8_lossy(&body).into_owned(),
         };
-        finish(node, &entry.access.budget, key, &claim, answer).await;
+        record_answer(node, &admitted.access.budget, key, &claim, answer).await;
     }
 }
 
 /// The refusal of a request whose only run is out of reach.
-fn unknown(holder: &str) -> Refusal {
+fn unknown_outcome(holder: &str) -> Refusal {
     let message = format!(
         "this request may run only once; {holder} took it and can't be reached, so whether it ran is not known"
     );
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -1,7 +1,7 @@
 //! Requests whose run is at another router: found by a hint, or by the claim, and passed on to it.
 
 use crate::clock::Clock;
-use crate::front::Entry;
+use crate::front::AdmittedRequest;
 use crate::node::Node;
 use crate::ports::Ports;
 use futures::StreamExt;
@@ -11,59 +11,61 @@
 use http_body_util::BodyDataStream;
 use hyper::body::{Bytes, Incoming};
 use net::{Body, exec};
-use peer::{LinkClient, State, Whereabouts};
+use peer::{LinkClient, MemberState, RunLocation};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use upstream::Engine;
 
 /// How often a router looks whether a peer that it waits for is still alive.
-const LOOK: Duration = Duration::from_millis(100);
+const LIVENESS_POLL: Duration = Duration::from_millis(100);
 
 /// Marks a request that a router passed on, so that it is passed on only once.
 pub(crate) const FORWARDED: &str = "x-tallypaddle-forwarded";
 
 /// Passes a request with a key on to the router that runs it already, if a hint names one that answers;
 /// else leaves a hint that it runs here.
-pub(crate) async fn elsewhere<W: Ports>(
+pub(crate) async fn forward_to_runner<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: &Entry,
+    admitted: &AdmittedRequest,
     key: &str,
     head: &Parts,
     body: &Bytes,
 ) -> Option<Response<Body>> {
-    if entry.forwarded {
+    if admitted.forwarded {
         return None;
     }
     let now = node.clock.now();
-    let keeper = node.view().keeper(key, now).map(|member| member.address);
-    let place = match keeper {
+    let hint_router = node.view().hint_router(key, now).map(|member| member.address);
+    let location = match hint_router {
         Some(address) => locate(node, address, key).await,
-        None => node.hints.find(key),
+        None => node.run_hints.get(key),
     };
-    if let Some(place) = place.filter(|place| place.holder != node.holder)
-        && let Some(response) = pass_on(node, &place.holder, head, body).await
+    if let Some(location) = location.filter(|location| location.holder != node.holder)
+        && let Some(response) = forward_request(node, &location.holder, head, body).await
     {
-        log::info!("caller: request={} is passed on to {}, which runs its key", entry.id, place.holder);
+        log::info!("caller: request={} is passed on to {}, which runs its key", admitted.id, location.holder);
         return Some(response);
     }
-    let here = Whereabouts { key: key.to_owned(), holder: node.holder.clone(), callers: node.beat().callers };
-    match keeper {
+    let own_location =
+        RunLocation { key: key.to_owned(), holder: node.holder.clone(), callers: node.heartbeat().callers };
+    match hint_router {
         Some(address) => {
-            let call = |client: LinkClient, context| async move { client.announce(context, here).await };
+            let call =
+                |client: LinkClient, context| async move { client.announce(context, own_location).await };
             if let Err(error) = node.peers.call("announce", address, call).await {
                 log::debug!("peer: {error}");
             }
         }
-        None => node.hints.note(here),
+        None => node.run_hints.insert(own_location),
     }
     None
 }
 
-async fn locate<W: Ports>(node: &Node<W>, keeper: SocketAddr, key: &str) -> Option<Whereabouts> {
+async fn locate<W: Ports>(node: &Node<W>, hint_router: SocketAddr, key: &str) -> Option<RunLocation> {
     let key = key.to_owned();
     let call = |client: LinkClient, context| async move { client.locate(context, key).await };
-    node.peers.call("locate", keeper, call).await.ok().flatten()
+    node.peers.call("locate", hint_router, call).await.ok().flatten()
 }
 
 /// Where callers reach a holder, if it is thought to be alive in the same incarnation.
@@ -72,13 +74,13 @@
     let now = node.clock.now();
     let view = node.view();
     let member = view.member(name)?;
-    let same = member.incarnation.to_string() == incarnation && member.state(now) == State::Alive;
+    let same = member.incarnation.to_string() == incarnation && member.state(now) == MemberState::Alive;
     member.callers.filter(|_| same)
 }
 
 /// Passes a request on to `holder` and hands back the answer as it comes; `None` if that router can't be
 /// reached or falls silent before it answers.
-pub(crate) async fn pass_on<W: Ports>(
+pub(crate) async fn forward_request<W: Ports>(
     node: &Arc<Node<W>>,
     holder: &str,
     head: &Parts,
@@ -89,27 +91,27 @@
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = head.uri.clone();
     *request.headers_mut() = head.headers.clone();
-    strip(request.headers_mut());
+    strip_connection_headers(request.headers_mut());
     request.headers_mut().insert(FORWARDED, HeaderValue::from_static("1"));
     let answer = async { node.engine.forward(callers, request).await.ok() };
-    let silent = async {
-        silence(node, holder).await;
+    let not_alive = async {
+        until_not_alive(node, holder).await;
         None
     };
-    let answer = smol::future::or(answer, silent).await?;
+    let answer = smol::future::or(answer, not_alive).await?;
     let (node, holder) = (node.clone(), holder.to_owned());
-    Some(stream(answer, async move { silence(&node, &holder).await }))
+    Some(relay(answer, async move { until_not_alive(&node, &holder).await }))
 }
 
 /// Waits until a holder is no longer thought to be alive in the same incarnation.
-async fn silence<W: Ports>(node: &Node<W>, holder: &str) {
+async fn until_not_alive<W: Ports>(node: &Node<W>, holder: &str) {
     while address_of(node, holder).is_some() {
-        exec::sleep(LOOK).await;
+        exec::sleep(LIVENESS_POLL).await;
     }
 }
 
 /// Takes out the headers that belong to one connection.
-pub(crate) fn strip(headers: &mut http::HeaderMap) {
+pub(crate) fn strip_connection_headers(headers: &mut http::HeaderMap) {
     for name in [CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING] {
         headers.remove(name);
     }
@@ -117,12 +119,12 @@
 }
 
 /// Hands an answer on as it comes; if it breaks off, or `ended` comes first, the copy breaks off too.
-pub(crate) fn stream(
+pub(crate) fn relay(
     answer: Response<Incoming>,
     ended: impl Future<Output = ()> + Send + 'static,
 ) -> Response<Body> {
     let (mut head, body) = answer.into_parts();
-    strip(&mut head.headers);
+    strip_connection_headers(&mut head.headers);
     let (pipe, copy) = net::pipe();
     exec::spawn(async move {
         let copying = async {
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -2,11 +2,11 @@
 
 use crate::clock::Clock;
 use crate::job::{self, Job};
-use crate::model_request::Ask;
-use crate::node::{Access, InForce, Node, Phase};
+use crate::model_request::ModelRequest;
+use crate::node::{Access, ActiveBundle, Node, Phase};
 use crate::ports::Ports;
 use crate::refusal::Refusal;
-use crate::shared_answer::{Flight, Found};
+use crate::shared_answer::{Lookup, SharedAnswer};
 use crate::{forward, service};
 use bundle::hash_key;
 use http::header::AUTHORIZATION;
@@ -21,28 +21,28 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The longest idempotency key in bytes.
-const KEY_MOST: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 /// When a caller should come back to a router that is stopping or not ready, in milliseconds.
-const ELSEWHERE_MS: u64 = 1_000;
+const RETRY_ELSEWHERE_MS: u64 = 1_000;
 /// The header that names a request.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
 
 /// A request whose caller is known.
 #[derive(Debug)]
-pub(crate) struct Entry {
+pub(crate) struct AdmittedRequest {
     /// The request's id in the fleet.
     pub id: String,
     pub access: Access,
-    pub bundle: Arc<InForce>,
+    pub bundle: Arc<ActiveBundle>,
     /// The caller's idempotency key.
     pub key: Option<String>,
     /// Whether another router passed it on.
     pub forwarded: bool,
 }
 
-impl Entry {
+impl AdmittedRequest {
     /// The key under which the request's flight is found.
-    pub(crate) fn flight_key(&self) -> Option<String> {
+    pub(crate) fn answer_key(&self) -> Option<String> {
         self.key.as_ref().map(|key| format!("{}|{key}", self.access.budget))
     }
 }
@@ -50,7 +50,7 @@
 /// Answers one request of a caller.
 pub(crate) async fn answer<W: Ports>(node: Arc<Node<W>>, request: Request<Incoming>) -> Response<Body> {
     let id = Uuid::new_v4().to_string();
-    node.open.fetch_add(1, Ordering::Relaxed);
+    node.open_requests.fetch_add(1, Ordering::Relaxed);
     node.metrics.open.inc();
     // Boxed, so that a stream does not keep the memory of what led to it.
     let mut response = match Box::pin(handle(&node, &id, request)).await {
@@ -61,7 +61,7 @@
             refusal.response(&id)
         }
     };
-    node.open.fetch_sub(1, Ordering::Relaxed);
+    node.open_requests.fetch_sub(1, Ordering::Relaxed);
     node.metrics.open.dec();
     if !response.headers().contains_key(REQUEST_ID)
         && let Ok(value) = HeaderValue::from_str(&id)
@@ -81,14 +81,14 @@
     let access = authenticate(&bundle, &request)?;
     let key = idempotency_key(&request)?;
     let forwarded = request.headers().contains_key(forward::FORWARDED);
-    let entry = Entry { id: id.to_owned(), access, bundle, key, forwarded };
+    let admitted = AdmittedRequest { id: id.to_owned(), access, bundle, key, forwarded };
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/v1/models") => Ok(models(&entry.bundle)),
+        (&Method::GET, "/v1/models") => Ok(list_models(&admitted.bundle)),
         (&Method::POST, "/v1/chat/completions" | "/v1/completions") => {
-            model(node, entry, path, request).await
+            answer_model_request(node, admitted, path, request).await
         }
-        _ if path.starts_with("/services/") => service::answer(node, entry, request).await,
+        _ if path.starts_with("/services/") => service::answer(node, admitted, request).await,
         (_, "/v1/models" | "/v1/chat/completions" | "/v1/completions") => {
             let message = format!("{} is not allowed on {path}", request.method());
             Err(Refusal::not_run(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed", "parse", message))
@@ -100,10 +100,10 @@
     }
 }
 
-fn check_phase<W: Ports>(node: &Node<W>, bundle: &InForce) -> Result<(), Refusal> {
+fn check_phase<W: Ports>(node: &Node<W>, bundle: &ActiveBundle) -> Result<(), Refusal> {
     let refuse = |code, message: &str| {
         Err(Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, code, "accept", message.to_owned())
-            .retry_after(ELSEWHERE_MS))
+            .retry_after(RETRY_ELSEWHERE_MS))
     };
     if node.phase() == Phase::Draining {
         return refuse("stopping", "this router is stopping; ask again and another one will answer");
@@ -114,7 +114,7 @@
     Ok(())
 }
 
-fn authenticate(bundle: &InForce, request: &Request<Incoming>) -> Result<Access, Refusal> {
+fn authenticate(bundle: &ActiveBundle, request: &Request<Incoming>) -> Result<Access, Refusal> {
     let value = request.headers().get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let refuse = |message: &str| {
         Refusal::not_run(StatusCode::UNAUTHORIZED, "invalid_api_key", "authenticate", message.to_owned())
@@ -130,15 +130,15 @@
         return Ok(None);
     };
     match value.to_str() {
-        Ok(key) if (1..=KEY_MOST).contains(&key.len()) => Ok(Some(key.to_owned())),
+        Ok(key) if (1..=MAX_KEY_BYTES).contains(&key.len()) => Ok(Some(key.to_owned())),
         _ => {
-            let message = format!("Idempotency-Key must have 1 to {KEY_MOST} visible ASCII characters");
-            Err(Refusal::bad("parse", "invalid_idempotency_key", message))
+            let message = format!("Idempotency-Key must have 1 to {MAX_KEY_BYTES} visible ASCII characters");
+            Err(Refusal::bad_request("parse", "invalid_idempotency_key", message))
         }
     }
 }
 
-fn models(bundle: &InForce) -> Response<Body> {
+fn list_models(bundle: &ActiveBundle) -> Response<Body> {
     let list: Vec<_> = bundle
         .content
         .models
@@ -153,7 +153,7 @@
 /// Reads a whole body within the limits.
 pub(crate) async fn read_body<W: Ports>(
     node: &Node<W>,
-    bundle: &InForce,
+    bundle: &ActiveBundle,
     body: Incoming,
 ) -> Result<Bytes, Refusal> {
     let limit = bundle.content.limits.body_bytes;
@@ -165,7 +165,7 @@
             Err(Refusal::not_run(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", "read", message))
         }
         Some(Err(reason)) => {
-            Err(Refusal::bad("read", "body_broken", format!("the body broke off: {reason}")))
+            Err(Refusal::bad_request("read", "body_broken", format!("the body broke off: {reason}")))
         }
         None => {
             let message = format!("the body did not arrive within {} ms", time.as_millis());
@@ -174,69 +174,69 @@
     }
 }
 
-async fn model<W: Ports>(
+async fn answer_model_request<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: Entry,
+    admitted: AdmittedRequest,
     path: String,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let (parts, body) = request.into_parts();
-    let body = read_body(node, &entry.bundle, body).await?;
-    let ask = Ask::read(&body, &entry.bundle.content)?;
-    let flight = Flight::new(&entry.id, xxh3_64(&body), entry.key.is_some());
-    if let Some(response) = join(node, &entry, &flight, &parts, &body).await? {
+    let body = read_body(node, &admitted.bundle, body).await?;
+    let ask = ModelRequest::read(&body, &admitted.bundle.content)?;
+    let shared = SharedAnswer::new(&admitted.id, xxh3_64(&body), admitted.key.is_some());
+    if let Some(response) = find_existing_run(node, &admitted, &shared, &parts, &body).await? {
         return Ok(response);
     }
-    let following = flight.clone().follow();
-    node.records.begin(&entry.id, &entry.access.budget, entry.bundle.sequence);
-    node.schedule.deposit();
-    node.open.fetch_add(1, Ordering::Relaxed);
-    let job = Job { node: node.clone(), entry, path, ask, flight, head: parts, body };
+    let response = shared.clone().follow();
+    node.records.begin(&admitted.id, &admitted.access.budget, admitted.bundle.sequence);
+    node.schedule.earn_retry();
+    node.open_requests.fetch_add(1, Ordering::Relaxed);
+    let job = Job { node: node.clone(), admitted, path, ask, answer: shared, head: parts, body };
     exec::spawn(job::run(job)).detach();
-    Ok(following.await)
+    Ok(response.await)
 }
 
 /// Answers a keyed request from a run that is here or at another router; `None` if it is to be run here.
-pub(crate) async fn join<W: Ports>(
+pub(crate) async fn find_existing_run<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: &Entry,
-    flight: &Arc<Flight>,
+    admitted: &AdmittedRequest,
+    shared: &Arc<SharedAnswer>,
     head: &Parts,
     body: &Bytes,
 ) -> Result<Option<Response<Body>>, Refusal> {
-    let Some(key) = entry.flight_key() else {
+    let Some(key) = admitted.answer_key() else {
         return Ok(None);
     };
-    match node.flights.enter(&key, flight, node.clock.now()) {
+    match node.shared_answers.find_or_insert(&key, shared, node.clock.now()) {
         // A flight that was passed on may wait for the very router that passes this request on.
-        Found::Same(earlier) if entry.forwarded && earlier.is_passed_on() => return Ok(None),
-        Found::Same(earlier) => {
-            log::info!("caller: request={} joins request={}", entry.id, earlier.request);
-            return Ok(Some(joined(earlier).await));
+        Lookup::Same(earlier) if admitted.forwarded && earlier.is_from_peer() => return Ok(None),
+        Lookup::Same(earlier) => {
+            log::info!("caller: request={} joins request={}", admitted.id, earlier.request);
+            return Ok(Some(follow_run(earlier).await));
         }
-        Found::Other => return Err(mismatch()),
-        Found::New => {}
+        Lookup::Mismatch => return Err(key_mismatch()),
+        Lookup::New => {}
     }
-    flight.set_passed_on(true);
-    let Some(answer) = forward::elsewhere(node, entry, &key, head, body).await else {
-        flight.set_passed_on(false);
+    shared.set_from_peer(true);
+    let Some(answer) = forward::forward_to_runner(node, admitted, &key, head, body).await else {
+        shared.set_from_peer(false);
         return Ok(None);
     };
     // Others may follow this flight already, so the answer goes through it.
-    let following = flight.clone().follow();
-    let (node, flight) = (node.clone(), flight.clone());
+    let response = shared.clone().follow();
+    let (node, shared) = (node.clone(), shared.clone());
     exec::spawn(async move {
-        flight.copy_from(answer).await;
-        node.flights.forget(&key);
+        shared.copy_from(answer).await;
+        node.shared_answers.remove(&key);
     })
     .detach();
-    Ok(Some(following.await))
+    Ok(Some(response.await))
 }
 
 /// Answers a caller from a run that an earlier request began; the answer names that one.
-async fn joined(flight: Arc<Flight>) -> Response<Body> {
-    let first = HeaderValue::from_str(&flight.request);
-    let mut response = flight.follow().await;
+async fn follow_run(shared: Arc<SharedAnswer>) -> Response<Body> {
+    let first = HeaderValue::from_str(&shared.request);
+    let mut response = shared.follow().await;
     if let Ok(first) = first {
         response.headers_mut().insert(REQUEST_ID, first);
     }
@@ -245,7 +245,7 @@
 }
 
 /// The refusal of a key that was used for another request.
-fn mismatch() -> Refusal {
+fn key_mismatch() -> Refusal {
     let message = "this Idempotency-Key was used for another request; take a new key".to_owned();
     Refusal::not_run(StatusCode::UNPROCESSABLE_ENTITY, "idempotency_mismatch", "parse", message)
 }
--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -12,17 +12,17 @@
 /// Shards of the grants.
 const SHARDS: usize = 16;
 /// Budgets in one batch, so that a transaction stays small.
-const BATCH_BUDGETS: usize = 48;
+const MAX_BATCH_BUDGETS: usize = 48;
 /// Charges in one batch, so that a transaction stays small.
-const BATCH_CHARGES: usize = 48;
+const MAX_BATCH_CHARGES: usize = 48;
 /// Milliseconds for which a pool that was seen empty is taken to be empty.
-const EMPTY_MS: u64 = 250;
+const POOL_EMPTY_MS: u64 = 250;
 /// Loans remembered, so that a repeated request lends nothing more.
-const LOANS_KEPT: usize = 10_000;
+const MAX_LOANS: usize = 10_000;
 
 /// What the bundle says of a budget.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Agreed {
+struct BudgetTerms {
     credits: Vec<Credit>,
     terms: Terms,
 }
@@ -36,7 +36,7 @@
 }
 
 /// Reads what was agreed on `budget`, named `team/budget`.
-fn agreed(bundle: &Bundle, budget: &str) -> Option<Agreed> {
+fn budget_terms(bundle: &Bundle, budget: &str) -> Option<BudgetTerms> {
     let (team, name) = budget.split_once('/')?;
     let content = bundle.teams.get(team)?.budgets.get(name)?;
     let limits = &bundle.limits;
@@ -45,25 +45,25 @@
         least: limits.grant_min,
         expose_s: limits.expose_s(content.weighing),
     };
-    Some(Agreed { credits: content.credits.clone(), terms })
+    Some(BudgetTerms { credits: content.credits.clone(), terms })
 }
 
 /// One budget here.
 #[derive(Debug, Default)]
-struct Slot {
+struct BudgetState {
     grant: Grant,
-    need: u64,
-    capped: u64,
+    missing: u64,
+    unexposed: u64,
     demand: Demand,
     pool: Option<Pool>,
-    settled: u64,
+    settlements: u64,
     settled_at: u64,
     changed: Arc<Event>,
 }
 
 /// One budget as operators see it; all in tokens.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(crate) struct View {
+pub(crate) struct BudgetView {
     pub available: u64,
     pub reserved: u64,
     pub unknown: u64,
@@ -83,13 +83,13 @@
 
 /// What is known about tokens that are missing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Outlook {
+pub(crate) enum Availability {
     /// No settlement has said yet.
-    Unseen,
+    Unknown,
     /// The budget has fewer tokens left than the request may need, wherever they are.
     Exhausted,
     /// Other routers hold tokens, or requests in progress here may give some back.
-    Elsewhere,
+    HeldElsewhere,
     /// The pool had tokens left at the last settlement.
     InPool,
 }
@@ -98,13 +98,13 @@
 #[derive(Debug)]
 pub(crate) struct Grants {
     holder: String,
-    shards: Vec<Mutex<HashMap<String, Slot>>>,
-    loans: Mutex<Loans>,
+    shards: Vec<Mutex<HashMap<String, BudgetState>>>,
+    loans: Mutex<LoanLog>,
 }
 
 #[derive(Debug, Default)]
-struct Loans {
-    given: HashMap<String, u64>,
+struct LoanLog {
+    lent: HashMap<String, u64>,
     order: VecDeque<String>,
 }
 
@@ -117,32 +117,32 @@
         }
     }
 
-    fn shard(&self, budget: &str) -> MutexGuard<'_, HashMap<String, Slot>> {
+    fn shard(&self, budget: &str) -> MutexGuard<'_, HashMap<String, BudgetState>> {
         let index = xxhash_rust::xxh3::xxh3_64(budget.as_bytes()) as usize % SHARDS;
-        self.shards[index].lock().expect("the grants' lock")
+        self.shards[index].lock().expect("no thread panics while it holds the lock")
     }
 
-    fn with<T>(&self, budget: &str, change: impl FnOnce(&mut Slot) -> T) -> T {
+    fn with<T>(&self, budget: &str, change: impl FnOnce(&mut BudgetState) -> T) -> T {
         let mut shard = self.shard(budget);
         if !shard.contains_key(budget) {
-            shard.insert(budget.to_owned(), Slot::default());
+            shard.insert(budget.to_owned(), BudgetState::default());
         }
         change(shard.get_mut(budget).expect("the slot was entered above"))
     }
 
     /// Reserves the worst case of a request (I6), or notes what is missing.
     pub(crate) fn reserve(&self, budget: &str, tokens: u64, now: u64) -> Result<(), Shortage> {
-        self.with(budget, |slot| {
-            slot.demand.ask(now);
-            match slot.grant.reserve(tokens) {
+        self.with(budget, |state| {
+            state.demand.ask(now);
+            match state.grant.reserve(tokens) {
                 Reserve::Held => Ok(()),
                 Reserve::Short(missing) => {
-                    slot.need = slot.need.max(missing);
-                    Err(Shortage { missing, changed: slot.changed.listen() })
+                    state.missing = state.missing.max(missing);
+                    Err(Shortage { missing, changed: state.changed.listen() })
                 }
                 Reserve::Capped => {
-                    slot.capped = slot.capped.max(tokens);
-                    Err(Shortage { missing: 0, changed: slot.changed.listen() })
+                    state.unexposed = state.unexposed.max(tokens);
+                    Err(Shortage { missing: 0, changed: state.changed.listen() })
                 }
             }
         })
@@ -150,93 +150,95 @@
 
     /// Gives back a reservation whose request certainly consumed nothing.
     pub(crate) fn release(&self, budget: &str, tokens: u64) {
-        self.with(budget, |slot| {
-            slot.grant.release(tokens);
-            slot.changed.notify(usize::MAX);
+        self.with(budget, |state| {
+            state.grant.release(tokens);
+            state.changed.notify(usize::MAX);
         });
     }
 
     /// Charges a reservation; returns the tokens above it that were cut off.
     pub(crate) fn charge(&self, budget: &str, reserved: u64, charge: Charge) -> u64 {
-        self.with(budget, |slot| {
-            slot.demand.consume(charge.tokens);
-            let excess = slot.grant.charge(reserved, charge);
-            slot.changed.notify(usize::MAX);
+        self.with(budget, |state| {
+            state.demand.consume(charge.tokens);
+            let excess = state.grant.charge(reserved, charge);
+            state.changed.notify(usize::MAX);
             excess
         })
     }
 
     /// Keeps the reservation of a run whose end is not known.
-    pub(crate) fn lose(&self, budget: &str, reserved: u64) {
-        self.with(budget, |slot| slot.grant.lose(reserved));
+    pub(crate) fn hold_unknown(&self, budget: &str, reserved: u64) {
+        self.with(budget, |state| state.grant.lose(reserved));
     }
 
     /// Ends a reservation whose run consumed `tokens` for an answer that nobody got.
-    pub(crate) fn waste(&self, budget: &str, reserved: u64, tokens: u64) {
-        self.with(budget, |slot| {
-            slot.grant.waste(reserved, tokens);
-            slot.changed.notify(usize::MAX);
+    pub(crate) fn write_off(&self, budget: &str, reserved: u64, tokens: u64) {
+        self.with(budget, |state| {
+            state.grant.waste(reserved, tokens);
+            state.changed.notify(usize::MAX);
         });
     }
 
     /// Ends a lost run once it is known that it consumed `tokens`: charged by `bill`, or wasted.
-    pub(crate) fn find(&self, budget: &str, reserved: u64, tokens: u64, bill: Option<Charge>) {
-        self.with(budget, |slot| {
-            slot.grant.find(reserved);
+    pub(crate) fn resolve_unknown(&self, budget: &str, reserved: u64, tokens: u64, bill: Option<Charge>) {
+        self.with(budget, |state| {
+            state.grant.find(reserved);
             match bill {
                 Some(charge) => {
-                    slot.grant.charge(reserved, charge);
+                    state.grant.charge(reserved, charge);
                 }
-                None => slot.grant.waste(reserved, tokens),
+                None => state.grant.waste(reserved, tokens),
             }
-            slot.changed.notify(usize::MAX);
+            state.changed.notify(usize::MAX);
         });
     }
 
     /// What is known about tokens that are missing for a request of `tokens`.
-    pub(crate) fn outlook(&self, budget: &str, tokens: u64) -> Outlook {
-        self.with(budget, |slot| {
-            let Some(pool) = &slot.pool else {
-                return Outlook::Unseen;
+    pub(crate) fn availability(&self, budget: &str, tokens: u64) -> Availability {
+        self.with(budget, |state| {
+            let Some(pool) = &state.pool else {
+                return Availability::Unknown;
             };
             if pool.free > 0 {
                 return if pool.free + pool.outstanding < tokens {
-                    Outlook::Exhausted
+                    Availability::Exhausted
                 } else {
-                    Outlook::InPool
+                    Availability::InPool
                 };
             }
-            let mine = slot.grant.total();
+            let mine = state.grant.total();
             let elsewhere = pool.outstanding.saturating_sub(mine);
-            let coming = slot.grant.available() + slot.grant.reserved() + elsewhere;
-            if coming < tokens || (elsewhere == 0 && slot.grant.reserved() == 0) {
-                Outlook::Exhausted
+            let obtainable = state.grant.available() + state.grant.reserved() + elsewhere;
+            if obtainable < tokens || (elsewhere == 0 && state.grant.reserved() == 0) {
+                Availability::Exhausted
             } else {
-                Outlook::Elsewhere
+                Availability::HeldElsewhere
             }
         })
     }
 
     /// How often this budget was settled: a caller sees by it whether a settlement came after its request.
     pub(crate) fn settlements(&self, budget: &str) -> u64 {
-        self.with(budget, |slot| slot.settled)
+        self.with(budget, |state| state.settlements)
     }
 
     /// Whether any budget misses tokens that the pool may have: one that was just seen empty is not asked
     /// again for every request.
-    pub(crate) fn is_short(&self, now: u64) -> bool {
-        let is_short = |slot: &Slot| {
-            let empty = slot.pool.as_ref().is_some_and(|pool| pool.free == 0);
-            let capped = slot.capped > 0 && !slot.grant.is_open();
-            let known_empty = empty && now.saturating_sub(slot.settled_at) < EMPTY_MS;
-            capped || (slot.need > 0 && !slot.grant.is_open() && !known_empty)
+    pub(crate) fn needs_settlement(&self, now: u64) -> bool {
+        let is_short = |state: &BudgetState| {
+            let empty = state.pool.as_ref().is_some_and(|pool| pool.free == 0);
+            let unexposed = state.unexposed > 0 && !state.grant.is_open();
+            let known_empty = empty && now.saturating_sub(state.settled_at) < POOL_EMPTY_MS;
+            unexposed || (state.missing > 0 && !state.grant.is_open() && !known_empty)
         };
-        self.shards.iter().any(|shard| shard.lock().expect("the grants' lock").values().any(is_short))
+        self.shards.iter().any(|shard| {
+            shard.lock().expect("no thread panics while it holds the lock").values().any(is_short)
+        })
     }
 
     /// Opens the entries of the next batch. `elapsed_ms` is the time since the last one; with `close`
     /// everything unused is given back.
-    pub(crate) fn open(
+    pub(crate) fn open_entries(
         &self,
         bundle: &Bundle,
         now: u64,
@@ -244,15 +246,15 @@
         close: bool,
     ) -> BTreeMap<String, Entry> {
         let mut entries = BTreeMap::new();
-        let mut room = BATCH_CHARGES;
+        let mut room = MAX_BATCH_CHARGES;
         for shard in &self.shards {
-            let mut shard = shard.lock().expect("the grants' lock");
-            for (budget, slot) in shard.iter_mut() {
-                if entries.len() >= BATCH_BUDGETS || room == 0 {
+            let mut shard = shard.lock().expect("no thread panics while it holds the lock");
+            for (budget, state) in shard.iter_mut() {
+                if entries.len() >= MAX_BATCH_BUDGETS || room == 0 {
                     return entries;
                 }
-                let pace = Pace { now, elapsed_ms, close };
-                if let Some(entry) = open_slot(bundle, budget, slot, pace, room) {
+                let timing = BatchTiming { now, elapsed_ms, close };
+                if let Some(entry) = open_entry(bundle, budget, state, timing, room) {
                     room -= entry.charges.len();
                     entries.insert(budget.clone(), entry);
                 }
@@ -262,70 +264,70 @@
     }
 
     /// Closes the entries of a batch that took effect.
-    pub(crate) fn close(&self, budget: &str, line: &Line, pool: Option<&Pool>, now: u64) {
-        self.with(budget, |slot| {
-            slot.grant.close(line);
+    pub(crate) fn close_entry(&self, budget: &str, line: &Line, pool: Option<&Pool>, now: u64) {
+        self.with(budget, |state| {
+            state.grant.close(line);
             if let Some(pool) = pool {
-                slot.pool = Some(Pool { credits: BTreeMap::new(), ..pool.clone() });
+                state.pool = Some(Pool { credits: BTreeMap::new(), ..pool.clone() });
             }
-            slot.settled += 1;
-            slot.settled_at = now;
-            slot.changed.notify(usize::MAX);
+            state.settlements += 1;
+            state.settled_at = now;
+            state.changed.notify(usize::MAX);
         });
     }
 
     /// Lifts the bound on what may be used of a budget until the next settlement.
-    pub(crate) fn raise(&self, budget: &str) {
-        self.with(budget, |slot| {
-            slot.grant.raise();
-            slot.changed.notify(usize::MAX);
+    pub(crate) fn lift_exposure_limit(&self, budget: &str) {
+        self.with(budget, |state| {
+            state.grant.raise();
+            state.changed.notify(usize::MAX);
         });
     }
 
     /// Lends tokens to a peer; the same `id` lends nothing more.
     pub(crate) fn lend(&self, id: &str, budget: &str, tokens: u64) -> u64 {
-        let mut loans = self.loans.lock().expect("the loans' lock");
-        if let Some(given) = loans.given.get(id) {
-            return *given;
+        let mut loans = self.loans.lock().expect("no thread panics while it holds the lock");
+        if let Some(lent) = loans.lent.get(id) {
+            return *lent;
         }
         // Of two routers that both miss tokens one must yield, or both refuse what together they could serve.
-        let yields = id < self.holder.as_str();
-        let given = self.with(budget, |slot| match slot.need > 0 && !yields {
+        let must_yield = id < self.holder.as_str();
+        let lent = self.with(budget, |state| match state.missing > 0 && !must_yield {
             true => 0,
-            false => slot.grant.give(tokens, 0),
+            false => state.grant.give(tokens, 0),
         });
-        loans.given.insert(id.to_owned(), given);
+        loans.lent.insert(id.to_owned(), lent);
         loans.order.push_back(id.to_owned());
-        if loans.order.len() > LOANS_KEPT
+        if loans.order.len() > MAX_LOANS
             && let Some(oldest) = loans.order.pop_front()
         {
-            loans.given.remove(&oldest);
+            loans.lent.remove(&oldest);
         }
-        given
+        lent
     }
 
     /// Adds tokens that a peer lent.
     pub(crate) fn receive(&self, budget: &str, tokens: u64) {
-        self.with(budget, |slot| {
-            slot.grant.receive(tokens);
-            slot.changed.notify(usize::MAX);
+        self.with(budget, |state| {
+            state.grant.receive(tokens);
+            state.changed.notify(usize::MAX);
         });
     }
 
     /// The budgets here.
-    pub(crate) fn view(&self) -> BTreeMap<String, View> {
+    pub(crate) fn views(&self) -> BTreeMap<String, BudgetView> {
         let mut view = BTreeMap::new();
         for shard in &self.shards {
-            for (budget, slot) in shard.lock().expect("the grants' lock").iter() {
-                let grant = &slot.grant;
-                let one = View {
+            for (budget, state) in shard.lock().expect("no thread panics while it holds the lock").iter() {
+                let grant = &state.grant;
+                let budget_view = BudgetView {
                     available: grant.available(),
                     reserved: grant.reserved(),
                     unknown: grant.unknown(),
                     total: grant.total(),
-                    free: slot.pool.as_ref().map(|pool| pool.free),
+                    free: state.pool.as_ref().map(|pool| pool.free),
                 };
-                view.insert(budget.clone(), one);
+                view.insert(budget.clone(), budget_view);
             }
         }
         view
@@ -334,25 +336,31 @@
 
 /// When a batch is opened.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct BatchTiming {
     now: u64,
     elapsed_ms: u64,
     close: bool,
 }
 
-fn open_slot(bundle: &Bundle, budget: &str, slot: &mut Slot, pace: Pace, room: usize) -> Option<Entry> {
-    if slot.grant.is_open() {
+fn open_entry(
+    bundle: &Bundle,
+    budget: &str,
+    state: &mut BudgetState,
+    timing: BatchTiming,
+    room: usize,
+) -> Option<Entry> {
+    if state.grant.is_open() {
         return None;
     }
-    let Agreed { credits, terms } = agreed(bundle, budget).unwrap_or_default();
-    slot.demand.tick(pace.elapsed_ms);
-    let target = if pace.close { 0 } else { slot.demand.target(pace.now, &terms) };
-    let need = std::mem::take(&mut slot.need);
-    let pool_free = slot.pool.as_ref().map(|pool| pool.free);
-    let off_target = is_off_target(slot.grant.available(), target, pool_free);
-    let capped = std::mem::take(&mut slot.capped);
-    if need == 0 && capped == 0 && !slot.grant.is_dirty() && !off_target {
+    let BudgetTerms { credits, terms } = budget_terms(bundle, budget).unwrap_or_default();
+    state.demand.tick(timing.elapsed_ms);
+    let target = if timing.close { 0 } else { state.demand.target(timing.now, &terms) };
+    let missing = std::mem::take(&mut state.missing);
+    let pool_free = state.pool.as_ref().map(|pool| pool.free);
+    let off_target = is_off_target(state.grant.available(), target, pool_free);
+    let unexposed = std::mem::take(&mut state.unexposed);
+    if missing == 0 && unexposed == 0 && !state.grant.is_dirty() && !off_target {
         return None;
     }
-    slot.grant.open(target, need, slot.demand.spare(&terms) + capped, credits, room)
+    state.grant.open(target, missing, state.demand.spare(&terms) + unexposed, credits, room)
 }
--- a/crates/router/src/keep.rs
+++ b/crates/router/src/keep.rs
@@ -12,7 +12,7 @@
 use crate::ports::Ports;
 use crate::sync::{account_key, pool_key};
 use budget::ledger::{Account, Pool, release};
-use peer::{LinkClient, State as Life};
+use peer::{LinkClient, MemberState};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,7 +20,7 @@
 
 /// Keepings and promises.
 #[derive(Debug, Default)]
-pub(crate) struct Keep {
+pub(crate) struct AccountKeeping {
     state: Mutex<State>,
 }
 
@@ -30,36 +30,36 @@
     /// effect, and that of a batch whose outcome is not known yet.
     keepers: BTreeSet<String>,
     /// The keeper that was told of its task.
-    told: Option<String>,
+    notified_keeper: Option<String>,
     /// The keeper that promised never to close this account: another one is named as soon as possible.
-    bound: Option<String>,
+    promising_keeper: Option<String>,
     /// The routers whose accounts this one keeps.
-    kept: BTreeSet<String>,
+    kept_accounts: BTreeSet<String>,
     /// Accounts that this one promised never to close.
-    spared: HashSet<String>,
+    promised: HashSet<String>,
     /// Accounts that this one has closed, or tried to.
     closing: HashSet<String>,
 }
 
-impl Keep {
+impl AccountKeeping {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no thread panics while it holds the keepings")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
     /// The keeper for the next batch: the present one if it is alive, else the first alive on the ring.
-    pub(crate) fn choose<W: Ports>(&self, node: &Node<W>) -> String {
+    pub(crate) fn choose_keeper<W: Ports>(&self, node: &Node<W>) -> String {
         let now = node.clock.now();
         let alive: Vec<String> = {
             let view = node.view();
-            view.targets(usize::MAX)
+            view.heartbeat_targets(usize::MAX)
                 .into_iter()
                 .filter_map(|name| view.member(name))
-                .filter(|member| member.state(now) == Life::Alive && member.incarnation > 0)
+                .filter(|member| member.state(now) == MemberState::Alive && member.incarnation > 0)
                 .map(|member| format!("{}#{}", member.name, member.incarnation))
                 .collect()
         };
         let mut state = self.lock();
-        let is_free = |keeper: &&String| state.bound.as_ref() != Some(*keeper);
+        let is_free = |keeper: &&String| state.promising_keeper.as_ref() != Some(*keeper);
         let present = state.keepers.iter().filter(is_free).find(|keeper| alive.contains(keeper)).cloned();
         let other = alive.iter().find(is_free).or(alive.first()).cloned();
         let chosen = present.or(other).unwrap_or_default();
@@ -69,30 +69,30 @@
 
     /// Notes that a batch took effect, and tells the keeper of its task until it has heard. If it never
     /// hears, the account is never closed, which is safe.
-    pub(crate) async fn settled<W: Ports>(&self, node: &Node<W>, keeper: &str, closed: bool) {
+    pub(crate) async fn record_settlement<W: Ports>(&self, node: &Node<W>, keeper: &str, closed: bool) {
         if closed {
             log::error!("budget: this router's account was closed by its keeper; it takes no new work");
-            return node.fence();
+            return node.stop_accepting();
         }
         let is_told = {
             let mut state = self.lock();
-            if state.bound.as_deref() != Some(keeper) {
-                state.bound = None;
+            if state.promising_keeper.as_deref() != Some(keeper) {
+                state.promising_keeper = None;
             }
             state.keepers.retain(|known| known == keeper);
-            state.told.as_deref() == Some(keeper)
+            state.notified_keeper.as_deref() == Some(keeper)
         };
         let Some(address) = address_of(node, keeper).filter(|_| !is_told) else { return };
         let holder = node.holder.clone();
         let call = |client: LinkClient, context| async move { client.keep(context, holder).await };
         match node.peers.call("keep", address, call).await {
-            Ok(()) => self.lock().told = Some(keeper.to_owned()),
+            Ok(()) => self.lock().notified_keeper = Some(keeper.to_owned()),
             Err(error) => log::debug!("peer: {error}"),
         }
     }
 
     /// Gets the promise of every possible keeper that this router's account is not closed.
-    pub(crate) async fn raise<W: Ports>(&self, node: &Node<W>) -> bool {
+    pub(crate) async fn request_promises<W: Ports>(&self, node: &Node<W>) -> bool {
         let keepers: Vec<String> = self.lock().keepers.iter().cloned().collect();
         for keeper in keepers.iter().filter(|keeper| !keeper.is_empty()) {
             let Some(address) = address_of(node, keeper) else { return false };
@@ -101,39 +101,42 @@
             if !node.peers.call("spare", address, call).await.unwrap_or(false) {
                 return false;
             }
-            self.lock().bound = Some(keeper.clone());
+            self.lock().promising_keeper = Some(keeper.clone());
         }
         log::info!("budget: {} promised not to close the account", keepers.join(", "));
         true
     }
 
     /// Takes a router's account into keeping.
-    pub(crate) fn take_in(&self, holder: &str) {
-        self.lock().kept.insert(holder.to_owned());
+    pub(crate) fn add_account(&self, holder: &str) {
+        self.lock().kept_accounts.insert(holder.to_owned());
     }
 
     /// Promises never to close an account, unless it may be closed already.
-    pub(crate) fn spare(&self, holder: &str) -> bool {
+    pub(crate) fn promise_not_to_close(&self, holder: &str) -> bool {
         let mut state = self.lock();
         if state.closing.contains(holder) {
             return false;
         }
-        state.spared.insert(holder.to_owned());
+        state.promised.insert(holder.to_owned());
         true
     }
 
     /// The kept accounts whose routers are gone; from now on no promise is given for them.
-    fn gone(&self, is_gone: impl Fn(&str) -> bool) -> Vec<String> {
+    fn start_closing(&self, is_gone: impl Fn(&str) -> bool) -> Vec<String> {
         let mut state = self.lock();
-        let State { kept, spared, closing, .. } = &mut *state;
-        let gone: Vec<String> =
-            kept.iter().filter(|holder| !spared.contains(*holder) && is_gone(holder)).cloned().collect();
+        let State { kept_accounts, promised, closing, .. } = &mut *state;
+        let gone: Vec<String> = kept_accounts
+            .iter()
+            .filter(|holder| !promised.contains(*holder) && is_gone(holder))
+            .cloned()
+            .collect();
         closing.extend(gone.iter().cloned());
         gone
     }
 
-    fn forget(&self, holder: &str) {
-        self.lock().kept.remove(holder);
+    fn remove_account(&self, holder: &str) {
+        self.lock().kept_accounts.remove(holder);
     }
 }
 
@@ -147,7 +150,7 @@
 
 /// Closes the accounts of kept routers that the platform no longer lists and that don't answer, or that came
 /// back as another incarnation.
-pub(crate) async fn release_gone<W: Ports>(node: &Arc<Node<W>>, vms: &[Vm]) {
+pub(crate) async fn close_accounts_of_gone_routers<W: Ports>(node: &Arc<Node<W>>, vms: &[Vm]) {
     let now = node.clock.now();
     let is_listed = |name: &str| vms.iter().any(|vm| vm.role == Role::Router && vm.name == name);
     let is_gone = |holder: &str| {
@@ -155,26 +158,29 @@
         let view = node.view();
         match view.member(name) {
             Some(member) if member.incarnation.to_string() != incarnation => true,
-            Some(member) => member.state(now) == Life::Gone && !is_listed(name),
+            Some(member) => member.state(now) == MemberState::Gone && !is_listed(name),
             None => !is_listed(name),
         }
     };
-    for holder in node.keep.gone(is_gone) {
-        match close(node, &holder).await {
+    for holder in node.account_keeping.start_closing(is_gone) {
+        match close_account(node, &holder).await {
             Ok(Some(released)) => {
-                node.keep.forget(&holder);
+                node.account_keeping.remove_account(&holder);
                 for (budget, tokens) in released {
                     log::info!("budget: {holder} is gone, {tokens} tokens of {budget} are given back");
                 }
             }
-            Ok(None) => node.keep.forget(&holder),
+            Ok(None) => node.account_keeping.remove_account(&holder),
             Err(error) => log::warn!("budget: the account of {holder} can't be closed yet: {error}"),
         }
     }
 }
 
 /// Closes one account; `None` if it is closed already or another router keeps it.
-async fn close<W: Ports>(node: &Node<W>, holder: &str) -> Result<Option<BTreeMap<String, u64>>, String> {
+async fn close_account<W: Ports>(
+    node: &Node<W>,
+    holder: &str,
+) -> Result<Option<BTreeMap<String, u64>>, String> {
     let key = account_key(holder);
     let read = node.platform.read(std::slice::from_ref(&key)).await.map_err(|error| error.to_string())?;
     let Some(row) = read.into_iter().next().flatten() else { return Ok(None) };
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -3,64 +3,64 @@
 use crate::clock::Clock;
 use crate::node::Node;
 use crate::ports::Ports;
-use peer::{Beat, Borrow, Handler, Lent, SlotAsk, Standing, Whereabouts};
+use peer::{BorrowReply, BorrowRequest, BundleStatus, Handler, Heartbeat, RunLocation, SlotRequest};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 
 /// Hints kept.
-const HINTS_KEPT: usize = 50_000;
+const MAX_HINTS: usize = 50_000;
 
 /// Where requests with a key run, as peers told; losing it costs only time.
 #[derive(Debug, Default)]
-pub(crate) struct Hints {
-    state: Mutex<HintState>,
+pub(crate) struct RunHints {
+    state: Mutex<RunHintsState>,
 }
 
 #[derive(Debug, Default)]
-struct HintState {
-    places: HashMap<String, Whereabouts>,
+struct RunHintsState {
+    locations: HashMap<String, RunLocation>,
     order: VecDeque<String>,
 }
 
-impl Hints {
-    pub(crate) fn note(&self, whereabouts: Whereabouts) {
-        let mut state = self.state.lock().expect("the hints' lock");
-        state.order.push_back(whereabouts.key.clone());
-        state.places.insert(whereabouts.key.clone(), whereabouts);
-        if state.order.len() > HINTS_KEPT
+impl RunHints {
+    pub(crate) fn insert(&self, location: RunLocation) {
+        let mut state = self.state.lock().expect("no thread panics while it holds the lock");
+        state.order.push_back(location.key.clone());
+        state.locations.insert(location.key.clone(), location);
+        if state.order.len() > MAX_HINTS
             && let Some(oldest) = state.order.pop_front()
         {
-            state.places.remove(&oldest);
+            state.locations.remove(&oldest);
         }
     }
 
-    pub(crate) fn find(&self, key: &str) -> Option<Whereabouts> {
-        self.state.lock().expect("the hints' lock").places.get(key).cloned()
+    pub(crate) fn get(&self, key: &str) -> Option<RunLocation> {
+        self.state.lock().expect("no thread panics while it holds the lock").locations.get(key).cloned()
     }
 }
 
 /// The service that this router offers.
-pub(crate) struct Service<W: Ports>(pub(crate) Arc<Node<W>>);
+pub(crate) struct PeerService<W: Ports>(pub(crate) Arc<Node<W>>);
 
-impl<W: Ports> Clone for Service<W> {
+impl<W: Ports> Clone for PeerService<W> {
     fn clone(&self) -> Self {
-        Service(self.0.clone())
+        PeerService(self.0.clone())
     }
 }
 
-impl<W: Ports> Handler for Service<W> {
-    fn beat(&self, beat: Beat) -> Beat {
-        crate::membership::hear(&self.0, &beat);
-        self.0.beat()
+impl<W: Ports> Handler for PeerService<W> {
+    fn beat(&self, beat: Heartbeat) -> Heartbeat {
+        crate::membership::record_heartbeat(&self.0, &beat);
+        self.0.heartbeat()
     }
 
-    fn borrow(&self, ask: Borrow) -> Lent {
+    fn borrow(&self, ask: BorrowRequest) -> BorrowReply {
         let tokens = self.0.grants.lend(&ask.id, &ask.budget, ask.tokens);
         if tokens > 0 {
             self.0.metrics.lent.inc_by(tokens);
             log::info!("budget: lent {tokens} tokens of {} under {}", ask.budget, ask.id);
         }
-        Lent { tokens }
+        BorrowReply { tokens }
     }
 
     fn fetch(&self, digests: &[String]) -> Vec<Option<String>> {
@@ -68,41 +68,41 @@
         digests.iter().map(|digest| bundle.parts.get(digest).cloned()).collect()
     }
 
-    fn announce(&self, whereabouts: Whereabouts) {
-        self.0.hints.note(whereabouts);
+    fn announce(&self, location: RunLocation) {
+        self.0.run_hints.insert(location);
     }
 
-    fn locate(&self, key: &str) -> Option<Whereabouts> {
-        self.0.hints.find(key)
+    fn locate(&self, key: &str) -> Option<RunLocation> {
+        self.0.run_hints.get(key)
     }
 
-    async fn slot(&self, ask: SlotAsk) -> Option<String> {
-        self.0.loans.lend(&self.0.schedule, self.0.clock.now(), ask).await
+    async fn slot(&self, ask: SlotRequest) -> Option<String> {
+        self.0.slot_loans.lend(&self.0.schedule, self.0.clock.now(), ask).await
     }
 
     fn free(&self, id: &str, failed: bool) {
-        self.0.loans.take_back(&self.0.schedule, id, failed);
+        self.0.slot_loans.take_back(&self.0.schedule, id, failed);
     }
 
     fn hint_leaving(&self, upstream: &str, from: &str) {
-        if self.0.schedule.hear_leaving(upstream) {
+        if self.0.schedule.record_leaving_hint(upstream) {
             log::info!("upstream: {upstream} leaves, it gets no new work, hints {from}");
         }
         // A hint ages; only this router's own look at the list makes it last.
-        let _ = self.0.look.try_send(());
+        let _ = self.0.list_now.try_send(());
     }
 
     fn keep(&self, holder: &str) {
-        self.0.keep.take_in(holder);
+        self.0.account_keeping.add_account(holder);
     }
 
     fn spare(&self, holder: &str) -> bool {
-        self.0.keep.spare(holder)
+        self.0.account_keeping.promise_not_to_close(holder)
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> BundleStatus {
         let bundle = self.0.bundle();
-        Standing {
+        BundleStatus {
             name: self.0.settings.name.clone(),
             sequence: bundle.sequence,
             in_force_ms: self.0.clock.now().saturating_sub(bundle.since),
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -8,60 +8,60 @@
 use async_channel::Receiver;
 use futures::future::join_all;
 use net::exec;
-use peer::{Beat, LinkClient, Member};
+use peer::{Heartbeat, LinkClient, Member};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use store::{List, Role};
 
 /// Routers that get heartbeats from one router, whatever the size of the fleet.
-const FANOUT: usize = 6;
+const HEARTBEAT_FANOUT: usize = 6;
 /// Routers that a new one greets before it takes up a bundle.
-const GREETED: usize = 16;
+const MAX_GREETED: usize = 16;
 
 /// Sends heartbeats in regular intervals, and at once when there is news.
-pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, heard: Receiver<()>) {
-    while !node.is_closed() {
+pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: Receiver<()>) {
+    while !node.is_stopped() {
         let targets: Vec<(String, SocketAddr)> = {
             let view = node.view();
-            let names = view.targets(FANOUT);
+            let names = view.heartbeat_targets(HEARTBEAT_FANOUT);
             names
                 .iter()
                 .filter_map(|name| view.member(name))
                 .map(|member| (member.name.clone(), member.address))
                 .collect()
         };
-        join_all(targets.iter().map(|(name, address)| exchange(&node, name, *address))).await;
-        let news = async {
-            let _ = heard.recv().await;
+        join_all(targets.iter().map(|(name, address)| heartbeat_member(&node, name, *address))).await;
+        let request = async {
+            let _ = requested.recv().await;
         };
-        smol::future::or(news, exec::sleep(millis(node.settings.limits.beat_ms))).await;
+        smol::future::or(request, exec::sleep(millis(node.settings.limits.beat_ms))).await;
     }
 }
 
 /// Makes a new router known to its seeds and to those that the platform lists, and takes up the latest
 /// bundle that one of them has in force: the platform may be away, or answer with an older one.
-pub(crate) async fn introduce<W: Ports>(node: &Arc<Node<W>>) {
+pub(crate) async fn join_fleet<W: Ports>(node: &Arc<Node<W>>) {
     if let Ok(vms) = node.platform.list().await {
-        list(node, &vms);
+        update_members(node, &vms);
     }
     let mut addresses: Vec<SocketAddr> = node.settings.seeds.clone();
-    addresses.extend(node.alive().into_iter().map(|(_, address)| address));
+    addresses.extend(node.alive_peers().into_iter().map(|(_, address)| address));
     addresses.sort_unstable();
     addresses.dedup();
-    addresses.truncate(GREETED);
-    let beats = join_all(addresses.iter().map(|address| greet(node, *address))).await;
+    addresses.truncate(MAX_GREETED);
+    let beats = join_all(addresses.iter().map(|address| send_heartbeat(node, *address))).await;
     let latest = beats.into_iter().flatten().max_by_key(|beat| beat.sequence);
     if let Some(beat) = latest {
         steer::adopt_from_peer(node, &beat).await;
     }
 }
 
-async fn greet<W: Ports>(node: &Arc<Node<W>>, address: SocketAddr) -> Option<Beat> {
-    let beat = node.beat();
+async fn send_heartbeat<W: Ports>(node: &Arc<Node<W>>, address: SocketAddr) -> Option<Heartbeat> {
+    let beat = node.heartbeat();
     let call = |client: LinkClient, context| async move { client.beat(context, beat).await };
     match node.peers.call("beat", address, call).await {
         Ok(answer) => {
-            hear(node, &answer);
+            record_heartbeat(node, &answer);
             Some(answer)
         }
         Err(error) => {
@@ -71,23 +71,23 @@
     }
 }
 
-async fn exchange<W: Ports>(node: &Arc<Node<W>>, name: &str, address: SocketAddr) {
-    if greet(node, address).await.is_none() {
+async fn heartbeat_member<W: Ports>(node: &Arc<Node<W>>, name: &str, address: SocketAddr) {
+    if send_heartbeat(node, address).await.is_none() {
         let now = node.clock.now();
-        node.view().miss(name, now);
+        node.view().record_no_answer(name, now);
     }
 }
 
 /// Takes in a heartbeat.
-pub(crate) fn hear<W: Ports>(node: &Arc<Node<W>>, beat: &Beat) {
+pub(crate) fn record_heartbeat<W: Ports>(node: &Arc<Node<W>>, beat: &Heartbeat) {
     let now = node.clock.now();
-    let news = node.view().hear(beat, now);
-    if news {
+    let is_new = node.view().record_heartbeat(beat, now);
+    if is_new {
         log::info!("peer: {} #{} is heard from {}", beat.name, beat.incarnation, beat.address);
-        node.share_out();
+        node.reassign_slots();
     }
     for name in &beat.leaving {
-        if node.schedule.hear_leaving(name) {
+        if node.schedule.record_leaving_hint(name) {
             log::info!("upstream: {name} leaves, it gets no new work, says {}", beat.name);
         }
     }
@@ -98,7 +98,7 @@
 }
 
 /// Takes in the platform's list of VMs.
-pub(crate) fn list<W: Ports>(node: &Node<W>, vms: &[store::Vm]) {
+pub(crate) fn update_members<W: Ports>(node: &Node<W>, vms: &[store::Vm]) {
     let routers: Vec<Member> = vms
         .iter()
         .filter(|vm| vm.role == Role::Router && vm.name != node.settings.name)
@@ -107,11 +107,11 @@
     let now = node.clock.now();
     let changed = {
         let mut view = node.view();
-        let before = view.sharers().len();
-        view.list(&routers, now);
-        view.sharers().len() != before
+        let before = view.router_names().len();
+        view.update_listed(&routers, now);
+        view.router_names().len() != before
     };
     if changed {
-        node.share_out();
+        node.reassign_slots();
     }
 }
--- a/crates/router/src/model_request.rs
+++ b/crates/router/src/model_request.rs
@@ -12,11 +12,11 @@
 /// Bytes of a prompt that make its prefix.
 const PREFIX_BYTES: usize = 256;
 /// The most answers to one request.
-const ANSWERS_MOST: u64 = 16;
+const MAX_ANSWERS: u64 = 16;
 
 /// A request to a model.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct ModelRequest {
     /// The model.
     pub model: String,
     /// The body for the upstream.
@@ -24,40 +24,40 @@
     /// Whether the caller wants the usage in the stream.
     pub include_usage: bool,
     /// The most tokens that the request can consume.
-    pub worst: u64,
+    pub max_tokens: u64,
     /// The most tokens that the prompt can count for.
-    pub prompt_bound: u64,
+    pub max_prompt_tokens: u64,
     /// The hash of the prompt's prefix.
     pub prefix: u64,
 }
 
-impl Ask {
+impl ModelRequest {
     /// Reads a request's body.
-    pub(crate) fn read(body: &[u8], bundle: &Bundle) -> Result<Ask, Refusal> {
+    pub(crate) fn read(body: &[u8], bundle: &Bundle) -> Result<ModelRequest, Refusal> {
         let mut fields: Map<String, Value> = serde_json::from_slice(body).map_err(|error| {
-            Refusal::bad("parse", "invalid_json", format!("the body is not a JSON object: {error}"))
+            Refusal::bad_request("parse", "invalid_json", format!("the body is not a JSON object: {error}"))
         })?;
         let name = match fields.get("model") {
             Some(Value::String(name)) => name.clone(),
-            _ => return Err(Refusal::bad("parse", "missing_model", "model must be a text")),
+            _ => return Err(Refusal::bad_request("parse", "missing_model", "model must be a text")),
         };
         let model = bundle.models.get(&name).ok_or_else(|| {
             let message = format!("model {name} is not known; GET /v1/models lists the models");
             Refusal::not_run(StatusCode::NOT_FOUND, "model_not_found", "parse", message)
         })?;
         if !fields.contains_key("messages") && !fields.contains_key("prompt") {
-            return Err(Refusal::bad("parse", "missing_prompt", "messages or prompt is missing"));
+            return Err(Refusal::bad_request("parse", "missing_prompt", "messages or prompt is missing"));
         }
-        let most = number(&fields, "max_completion_tokens")?.or(number(&fields, "max_tokens")?);
-        let most = most.unwrap_or(model.default_max_tokens);
-        if most == 0 || most > model.context {
-            let message = format!("max_tokens is {most}; allowed are 1 to {}", model.context);
-            return Err(Refusal::bad("parse", "invalid_max_tokens", message));
+        let max_output = number(&fields, "max_completion_tokens")?.or(number(&fields, "max_tokens")?);
+        let max_output = max_output.unwrap_or(model.default_max_tokens);
+        if max_output == 0 || max_output > model.context {
+            let message = format!("max_tokens is {max_output}; allowed are 1 to {}", model.context);
+            return Err(Refusal::bad_request("parse", "invalid_max_tokens", message));
         }
         let answers = number(&fields, "n")?.unwrap_or(1);
-        if answers == 0 || answers > ANSWERS_MOST {
-            let message = format!("n is {answers}; allowed are 1 to {ANSWERS_MOST}");
-            return Err(Refusal::bad("parse", "invalid_n", message));
+        if answers == 0 || answers > MAX_ANSWERS {
+            let message = format!("n is {answers}; allowed are 1 to {MAX_ANSWERS}");
+            return Err(Refusal::bad_request("parse", "invalid_n", message));
         }
         let stream = fields.get("stream").and_then(Value::as_bool).unwrap_or(false);
         let include_usage = fields
@@ -66,19 +66,19 @@
             .and_then(Value::as_bool)
             .unwrap_or(false);
 
-        let prefix = prefix_of(&fields);
-        fields.insert("max_tokens".to_owned(), json!(most));
+        let prefix = prefix_hash(&fields);
+        fields.insert("max_tokens".to_owned(), json!(max_output));
         if stream {
             fields.insert("stream_options".to_owned(), json!({"include_usage": true}));
         }
         // A token stands for at least one byte of the body, so its length bounds the prompt.
-        let prompt_bound = body.len() as u64 + TEMPLATE_TOKENS;
-        Ok(Ask {
+        let max_prompt_tokens = body.len() as u64 + TEMPLATE_TOKENS;
+        Ok(ModelRequest {
             model: name,
             body: Bytes::from(Value::Object(fields).to_string()),
             include_usage,
-            worst: prompt_bound + answers * most,
-            prompt_bound,
+            max_tokens: max_prompt_tokens + answers * max_output,
+            max_prompt_tokens,
             prefix,
         })
     }
@@ -88,7 +88,7 @@
     match fields.get(key) {
         None | Some(Value::Null) => Ok(None),
         Some(value) => value.as_u64().map(Some).ok_or_else(|| {
-            Refusal::bad(
+            Refusal::bad_request(
                 "parse",
                 "invalid_number",
                 format!("{key} is {value}; it must be a whole number from 0"),
@@ -98,7 +98,7 @@
 }
 
 /// The hash by which routers and engines name a prompt's prefix: that of its first bytes of text.
-fn prefix_of(fields: &Map<String, Value>) -> u64 {
+fn prefix_hash(fields: &Map<String, Value>) -> u64 {
     let mut text = String::new();
     if let Some(Value::Array(messages)) = fields.get("messages") {
         for message in messages {
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -2,20 +2,20 @@
 
 use crate::clock::Clock;
 use crate::grants::Grants;
-use crate::keep::Keep;
-use crate::link::Hints;
+use crate::keep::AccountKeeping;
+use crate::link::RunHints;
 use crate::metrics::Metrics;
 use crate::ports::Ports;
 use crate::record::{Record, Records, Step};
 use crate::schedule::Schedule;
 use crate::settings::{Settings, millis};
-use crate::shared_answer::Flights;
-use crate::slot::Loans;
+use crate::shared_answer::SharedAnswers;
+use crate::slot::SlotLoans;
 use crate::{admin, front, leaving, link, membership, steer, sync};
 use async_channel::Sender;
 use bundle::{Bundle, Team};
 use net::{Handle, exec};
-use peer::{Beat, Peers, State, View};
+use peer::{FleetView, Heartbeat, MemberState, Peers};
 use std::collections::{HashMap, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -24,13 +24,13 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Time for the balancer's and the peers' last calls after everything has ended, in milliseconds.
-const LAST_CALLS_MS: u64 = 50;
+const FINAL_CALLS_MS: u64 = 50;
 /// How often a stopping router looks whether its requests have ended, in milliseconds.
-const DRAIN_LOOK_MS: u64 = 10;
+const DRAIN_POLL_MS: u64 = 10;
 
 /// The bundle in force.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct InForce {
+pub(crate) struct ActiveBundle {
     /// Its accepted sequence; 0 if there is none.
     pub sequence: u64,
     /// The digest of its signed manifest.
@@ -77,31 +77,31 @@
     pub clock: W::Clock,
     pub peers: Peers,
     pub grants: Grants,
-    pub flights: Flights,
-    pub hints: Hints,
+    pub shared_answers: SharedAnswers,
+    pub run_hints: RunHints,
     pub records: Records,
     pub schedule: Schedule<W::Clock>,
-    pub loans: Loans,
-    pub keep: Keep,
+    pub slot_loans: SlotLoans,
+    pub account_keeping: AccountKeeping,
     pub metrics: Metrics,
-    pub open: AtomicU64,
+    pub open_requests: AtomicU64,
     /// Claims of this router whose requests were certainly not dispatched, by request.
-    pub undispatched: Mutex<HashSet<String>>,
-    bundle: RwLock<Arc<InForce>>,
-    view: Mutex<View>,
+    pub undispatched_claims: Mutex<HashSet<String>>,
+    bundle: RwLock<Arc<ActiveBundle>>,
+    view: Mutex<FleetView>,
     phase: Mutex<Phase>,
     addresses: Mutex<Addresses>,
     /// Held while a batch is on its way: batches of one account follow each other.
-    pub settling: smol::lock::Mutex<()>,
-    batch: AtomicU64,
-    kick: Sender<()>,
-    pub news: Sender<()>,
+    pub settlement_lock: smol::lock::Mutex<()>,
+    last_batch: AtomicU64,
+    settle_now: Sender<()>,
+    pub heartbeat_now: Sender<()>,
     /// Asks for a look at the platform's list now.
-    pub look: Sender<()>,
+    pub list_now: Sender<()>,
     platform_up: AtomicBool,
     /// Whether the upstreams of a bundle were asked for their load once.
-    pub surveyed: AtomicBool,
-    closed: AtomicBool,
+    pub has_read_loads: AtomicBool,
+    stopped: AtomicBool,
 }
 
 /// The addresses bound.
@@ -116,55 +116,55 @@
 }
 
 impl<W: Ports> Node<W> {
-    pub(crate) fn bundle(&self) -> Arc<InForce> {
-        self.bundle.read().expect("the bundle's lock").clone()
+    pub(crate) fn bundle(&self) -> Arc<ActiveBundle> {
+        self.bundle.read().expect("no thread panics while it holds the lock").clone()
     }
 
     /// Puts a bundle in force, unless a later one is: never back to an older sequence.
-    pub(crate) fn put_in_force(&self, next: InForce) -> bool {
-        let mut current = self.bundle.write().expect("the bundle's lock");
+    pub(crate) fn activate_bundle(&self, next: ActiveBundle) -> bool {
+        let mut current = self.bundle.write().expect("no thread panics while it holds the lock");
         if next.sequence <= current.sequence {
             return false;
         }
         self.metrics.sequence.set(next.sequence as i64);
         *current = Arc::new(next);
         drop(current);
-        self.share_out();
-        let _ = self.news.try_send(());
+        self.reassign_slots();
+        let _ = self.heartbeat_now.try_send(());
         true
     }
 
     /// Computes this router's shares of the upstreams anew.
-    pub(crate) fn share_out(&self) {
+    pub(crate) fn reassign_slots(&self) {
         let bundle = self.bundle();
         self.schedule.configure(&bundle.content, &self.view(), &self.settings.name);
     }
 
-    pub(crate) fn view(&self) -> MutexGuard<'_, View> {
-        self.view.lock().expect("the view's lock")
+    pub(crate) fn view(&self) -> MutexGuard<'_, FleetView> {
+        self.view.lock().expect("no thread panics while it holds the lock")
     }
 
     /// How many routers draw on the budgets, this one included.
     pub(crate) fn fleet_size(&self) -> u64 {
-        self.view().sharers().len() as u64
+        self.view().router_names().len() as u64
     }
 
     pub(crate) fn phase(&self) -> Phase {
-        *self.phase.lock().expect("the phase's lock")
+        *self.phase.lock().expect("no thread panics while it holds the lock")
     }
 
     pub(crate) fn addresses(&self) -> Addresses {
-        *self.addresses.lock().expect("the addresses' lock")
+        *self.addresses.lock().expect("no thread panics while it holds the lock")
     }
 
     /// The number of the next batch in this router's account.
     pub(crate) fn next_batch(&self) -> u64 {
-        self.batch.fetch_add(1, Ordering::Relaxed) + 1
+        self.last_batch.fetch_add(1, Ordering::Relaxed) + 1
     }
 
     /// Asks for a settlement now.
-    pub(crate) fn kick(&self) {
-        let _ = self.kick.try_send(());
+    pub(crate) fn request_settlement(&self) {
+        let _ = self.settle_now.try_send(());
     }
 
     pub(crate) fn is_platform_up(&self) -> bool {
@@ -177,30 +177,30 @@
         }
     }
 
-    pub(crate) fn count_platform(&self, step: &str, outcome: &str) {
+    pub(crate) fn count_platform_call(&self, step: &str, outcome: &str) {
         self.metrics.platform.with_label_values(&[step, outcome]).inc();
     }
 
-    pub(crate) fn is_closed(&self) -> bool {
-        self.closed.load(Ordering::Relaxed)
+    pub(crate) fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 
     /// Takes no new work any more: another router closed this one's account.
-    pub(crate) fn fence(&self) {
-        *self.phase.lock().expect("the phase's lock") = Phase::Draining;
+    pub(crate) fn stop_accepting(&self) {
+        *self.phase.lock().expect("no thread panics while it holds the lock") = Phase::Draining;
     }
 
     /// Notes what happened to a request.
-    pub(crate) fn note(&self, request: &str, what: impl Into<String>) {
+    pub(crate) fn record_step(&self, request: &str, what: impl Into<String>) {
         let step = Step { at: self.clock.now(), what: what.into() };
-        self.records.note(request, |record: &mut Record| record.steps.push(step));
+        self.records.update(request, |record: &mut Record| record.steps.push(step));
     }
 
     /// This router's heartbeat.
-    pub(crate) fn beat(&self) -> Beat {
+    pub(crate) fn heartbeat(&self) -> Heartbeat {
         let bundle = self.bundle();
         let addresses = self.addresses();
-        Beat {
+        Heartbeat {
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
             address: self.settings.listen.advertise_peers.unwrap_or(addresses.peers),
@@ -214,10 +214,10 @@
     }
 
     /// The addresses of the peers that are thought to be alive.
-    pub(crate) fn alive(&self) -> Vec<(String, SocketAddr)> {
+    pub(crate) fn alive_peers(&self) -> Vec<(String, SocketAddr)> {
         let now = self.clock.now();
         let view = self.view();
-        view.members(State::Alive, now).map(|member| (member.name.clone(), member.address)).collect()
+        view.members(MemberState::Alive, now).map(|member| (member.name.clone(), member.address)).collect()
     }
 }
 
@@ -250,9 +250,9 @@
     let Some(key) = keys.first().cloned() else {
         return Err(io::Error::other("no fleet key in the settings"));
     };
-    let (kick, kicked) = async_channel::bounded(1);
-    let (news, heard) = async_channel::bounded(1);
-    let (look, looked) = async_channel::bounded(1);
+    let (settle_now, settle_requested) = async_channel::bounded(1);
+    let (heartbeat_now, heartbeat_requested) = async_channel::bounded(1);
+    let (list_now, list_requested) = async_channel::bounded(1);
     let limits = settings.limits.clone();
     let addresses = Addresses {
         callers: settings.listen.callers,
@@ -266,32 +266,32 @@
         engine,
         peers: Peers::new(key, millis(limits.peer_ms)),
         grants: Grants::new(&format!("{}#{incarnation}", settings.name)),
-        flights: Flights::new(limits.answer_ms),
-        hints: Hints::default(),
+        shared_answers: SharedAnswers::new(limits.answer_ms),
+        run_hints: RunHints::default(),
         records: Records::new(limits.records),
         schedule: Schedule::new(&settings.data_centre, clock.clone()),
-        loans: Loans::default(),
-        keep: Keep::default(),
+        slot_loans: SlotLoans::default(),
+        account_keeping: AccountKeeping::default(),
         metrics: Metrics::new(),
-        open: AtomicU64::new(0),
-        undispatched: Mutex::default(),
+        open_requests: AtomicU64::new(0),
+        undispatched_claims: Mutex::default(),
         bundle: RwLock::default(),
-        view: Mutex::new(View::new(&settings.name)),
+        view: Mutex::new(FleetView::new(&settings.name)),
         phase: Mutex::new(Phase::Serving),
         addresses: Mutex::new(addresses),
-        settling: smol::lock::Mutex::new(()),
-        batch: AtomicU64::new(0),
-        kick,
-        news,
-        look,
+        settlement_lock: smol::lock::Mutex::new(()),
+        last_batch: AtomicU64::new(0),
+        settle_now,
+        heartbeat_now,
+        list_now,
         platform_up: AtomicBool::new(true),
-        surveyed: AtomicBool::new(false),
-        closed: AtomicBool::new(false),
+        has_read_loads: AtomicBool::new(false),
+        stopped: AtomicBool::new(false),
         clock,
         settings,
     });
 
-    let peers = peer::listen(addresses.peers, keys, link::Service(node.clone())).await?;
+    let peers = peer::listen(addresses.peers, keys, link::PeerService(node.clone())).await?;
     let shared = node.clone();
     let operators = net::serve(addresses.operators, net::Limits::default(), move |request| {
         admin::answer(shared.clone(), request)
@@ -305,13 +305,13 @@
     };
     let callers =
         net::serve(addresses.callers, bounds, move |request| front::answer(shared.clone(), request)).await?;
-    *node.addresses.lock().expect("the addresses' lock") =
+    *node.addresses.lock().expect("no thread panics while it holds the lock") =
         Addresses { callers: callers.address(), peers, operators: operators.address() };
 
     exec::spawn(steer::run(node.clone())).detach();
-    exec::spawn(membership::run(node.clone(), heard)).detach();
-    exec::spawn(leaving::run(node.clone(), looked)).detach();
-    exec::spawn(sync::run(node.clone(), kicked)).detach();
+    exec::spawn(membership::run(node.clone(), heartbeat_requested)).detach();
+    exec::spawn(leaving::run(node.clone(), list_requested)).detach();
+    exec::spawn(sync::run(node.clone(), settle_requested)).detach();
     let bound = node.addresses();
     log::info!(
         "node: {} serves callers on {}, peers on {}, operators on {}",
@@ -337,23 +337,26 @@
         self.set_phase(Phase::Leaving);
         exec::sleep(millis(node.settings.limits.stop_delay_ms)).await;
         self.set_phase(Phase::Draining);
-        let _ = node.news.try_send(());
-        log::info!("node: takes no new work, {} requests are open", node.open.load(Ordering::Relaxed));
-        while node.open.load(Ordering::Relaxed) > 0 {
-            exec::sleep(millis(DRAIN_LOOK_MS)).await;
+        let _ = node.heartbeat_now.try_send(());
+        log::info!(
+            "node: takes no new work, {} requests are open",
+            node.open_requests.load(Ordering::Relaxed)
+        );
+        while node.open_requests.load(Ordering::Relaxed) > 0 {
+            exec::sleep(millis(DRAIN_POLL_MS)).await;
         }
         self.callers.stop();
         while self.callers.open() > 0 {
-            exec::sleep(millis(DRAIN_LOOK_MS)).await;
+            exec::sleep(millis(DRAIN_POLL_MS)).await;
         }
-        node.closed.store(true, Ordering::Relaxed);
+        node.stopped.store(true, Ordering::Relaxed);
         while sync::settle(node, node.clock.now(), 1, true).await {}
-        exec::sleep(millis(LAST_CALLS_MS)).await;
+        exec::sleep(millis(FINAL_CALLS_MS)).await;
         self.operators.stop();
         log::info!("node: stopped, every token is settled or given back");
     }
 
     fn set_phase(&self, phase: Phase) {
-        *self.node.phase.lock().expect("the phase's lock") = phase;
+        *self.node.phase.lock().expect("no thread panics while it holds the lock") = phase;
     }
 }
--- a/crates/router/src/record.rs
+++ b/crates/router/src/record.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Records {
     shards: Vec<Mutex<Shard>>,
-    most: usize,
+    shard_capacity: usize,
 }
 
 #[derive(Debug, Default)]
@@ -47,9 +47,9 @@
 
 impl Records {
     /// Keeps about `most` requests.
-    pub(crate) fn new(most: usize) -> Records {
+    pub(crate) fn new(shard_capacity: usize) -> Records {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
-        Records { shards, most: most.div_ceil(SHARDS) }
+        Records { shards, shard_capacity: shard_capacity.div_ceil(SHARDS) }
     }
 
     /// Begins a request's record.
@@ -58,7 +58,7 @@
         let record = Record { budget: budget.to_owned(), bundle, charge: None, outcome: None, steps: vec![] };
         shard.records.insert(request.to_owned(), record);
         shard.order.push_back(request.to_owned());
-        if shard.order.len() > self.most
+        if shard.order.len() > self.shard_capacity
             && let Some(oldest) = shard.order.pop_front()
         {
             shard.records.remove(&oldest);
@@ -66,7 +66,7 @@
     }
 
     /// Changes a request's record.
-    pub(crate) fn note(&self, request: &str, change: impl FnOnce(&mut Record)) {
+    pub(crate) fn update(&self, request: &str, change: impl FnOnce(&mut Record)) {
         if let Some(record) = self.shard(request).records.get_mut(request) {
             change(record);
         }
@@ -79,6 +79,6 @@
 
     fn shard(&self, request: &str) -> std::sync::MutexGuard<'_, Shard> {
         let index = xxhash_rust::xxh3::xxh3_64(request.as_bytes()) as usize % SHARDS;
-        self.shards[index].lock().expect("the records' lock")
+        self.shards[index].lock().expect("no thread panics while it holds the lock")
     }
 }
--- a/crates/router/src/refusal.rs
+++ b/crates/router/src/refusal.rs
@@ -61,7 +61,7 @@
     }
 
     /// A request that can't be understood.
-    pub(crate) fn bad(step: &'static str, code: &'static str, message: impl Into<String>) -> Refusal {
+    pub(crate) fn bad_request(step: &'static str, code: &'static str, message: impl Into<String>) -> Refusal {
         Refusal::not_run(StatusCode::BAD_REQUEST, code, step, message.into())
     }
 
@@ -90,7 +90,7 @@
     pub(crate) fn json(&self, request: &str) -> String {
         json!({"error": {
             "message": self.message,
-            "type": kind(self.status),
+            "type": error_type(self.status),
             "param": null,
             "code": self.code,
             "step": self.step,
@@ -114,7 +114,7 @@
     }
 }
 
-fn kind(status: StatusCode) -> &'static str {
+fn error_type(status: StatusCode) -> &'static str {
     match status.as_u16() {
         401 | 403 => "authentication_error",
         429 => "rate_limit_error",
--- a/crates/router/src/reserve.rs
+++ b/crates/router/src/reserve.rs
@@ -1,7 +1,7 @@
 //! Getting the tokens for a request: from this router's grant, from the pool, or from peers (I6).
 
 use crate::clock::Clock;
-use crate::grants::{self, Outlook};
+use crate::grants::{self, Availability};
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::refusal::Refusal;
@@ -9,15 +9,15 @@
 use bundle::Weighing;
 use http::StatusCode;
 use net::exec;
-use peer::{Borrow, LinkClient};
+use peer::{BorrowRequest, LinkClient};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use uuid::Uuid;
 
 /// How long a settlement or a release is waited for before peers are asked, in milliseconds.
-const SLICE_MS: u64 = 150;
+const CHANGE_WAIT_MS: u64 = 150;
 /// Peers that are asked for one request.
-const LENDERS: usize = 8;
+const MAX_LENDERS: usize = 8;
 /// How often a loan with a lost answer is asked for again.
 const LOAN_ATTEMPTS: u32 = 120;
 /// The pause between those attempts, in milliseconds.
@@ -34,22 +34,22 @@
     let settled = node.grants.settlements(budget);
     loop {
         let Err(shortage) = node.grants.reserve(budget, tokens, node.clock.now()) else { return Ok(()) };
-        node.kick();
-        exec::timeout(millis(SLICE_MS), shortage.changed).await;
+        node.request_settlement();
+        exec::timeout(millis(CHANGE_WAIT_MS), shortage.changed).await;
         let Err(shortage) = node.grants.reserve(budget, tokens, node.clock.now()) else { return Ok(()) };
         let missing = shortage.missing;
         if missing == 0 {
             // The tokens are here, but the platform is slow to take in that they are used.
-            if node.keep.raise(node).await || goes_on_alone(node, budget) {
-                node.grants.raise(budget);
+            if node.account_keeping.request_promises(node).await || may_exceed_exposure(node, budget) {
+                node.grants.lift_exposure_limit(budget);
             } else if node.clock.now() >= deadline {
-                return Err(give_up(node, budget, tokens));
+                return Err(unavailable(node, budget, tokens));
             }
             continue;
         }
 
         let has_settled = node.grants.settlements(budget) > settled;
-        if has_settled && node.grants.outlook(budget, tokens) == Outlook::Exhausted {
+        if has_settled && node.grants.availability(budget, tokens) == Availability::Exhausted {
             return Err(exhausted(budget, tokens));
         }
         if borrow(node, budget, missing).await > 0
@@ -58,20 +58,20 @@
             return Ok(());
         }
         if node.clock.now() >= deadline {
-            return Err(give_up(node, budget, tokens));
+            return Err(unavailable(node, budget, tokens));
         }
     }
 }
 
 /// Whether a router that reaches neither the platform nor its keeper may use all it holds: where refusals weigh
 /// more. Then the platform's list is trusted not to drop a VM that lives.
-fn goes_on_alone<W: Ports>(node: &Node<W>, budget: &str) -> bool {
-    let alone =
+fn may_exceed_exposure<W: Ports>(node: &Node<W>, budget: &str) -> bool {
+    let allowed =
         !node.is_platform_up() && grants::weighing(&node.bundle().content, budget) == Weighing::Refusals;
-    if alone {
+    if allowed {
         log::warn!("budget: {budget} is used beyond what was exposed; neither platform nor keeper answers");
     }
-    alone
+    allowed
 }
 
 fn exhausted(budget: &str, tokens: u64) -> Refusal {
@@ -79,7 +79,7 @@
     Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, "insufficient_quota", "budget", message)
 }
 
-fn give_up<W: Ports>(node: &Node<W>, budget: &str, tokens: u64) -> Refusal {
+fn unavailable<W: Ports>(node: &Node<W>, budget: &str, tokens: u64) -> Refusal {
     if node.is_platform_up() {
         let message = format!("{tokens} tokens of budget {budget} are in use by other requests");
         return Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, "budget_busy", "budget", message)
@@ -93,41 +93,41 @@
 /// Asks peers for tokens that they don't use; returns what came.
 async fn borrow<W: Ports>(node: &Arc<Node<W>>, budget: &str, missing: u64) -> u64 {
     let mut got = 0;
-    for (name, address) in node.alive().into_iter().take(LENDERS) {
+    for (name, address) in node.alive_peers().into_iter().take(MAX_LENDERS) {
         if got >= missing {
             break;
         }
-        let ask = Borrow {
+        let ask = BorrowRequest {
             id: format!("{}/{}", node.holder, Uuid::new_v4()),
             budget: budget.to_owned(),
             tokens: missing - got,
         };
-        match ask_once(node, address, &ask).await {
+        match request_loan(node, address, &ask).await {
             Some(tokens) => {
                 if tokens > 0 {
-                    take_in(node, &name, &ask, tokens);
+                    receive_loan(node, &name, &ask, tokens);
                 }
                 got += tokens;
             }
             // The answer may be lost while the tokens were taken out: ask again with the same id.
-            None => exec::spawn(ask_again(node.clone(), name, address, ask)).detach(),
+            None => exec::spawn(retry_loan(node.clone(), name, address, ask)).detach(),
         }
     }
     got
 }
 
-async fn ask_once<W: Ports>(node: &Node<W>, address: SocketAddr, ask: &Borrow) -> Option<u64> {
+async fn request_loan<W: Ports>(node: &Node<W>, address: SocketAddr, ask: &BorrowRequest) -> Option<u64> {
     let ask = ask.clone();
     let call = |client: LinkClient, context| async move { client.borrow(context, ask).await };
     node.peers.call("borrow", address, call).await.ok().map(|lent| lent.tokens)
 }
 
-async fn ask_again<W: Ports>(node: Arc<Node<W>>, name: String, address: SocketAddr, ask: Borrow) {
+async fn retry_loan<W: Ports>(node: Arc<Node<W>>, name: String, address: SocketAddr, ask: BorrowRequest) {
     node.metrics.loans_open.inc();
     let mut answer = None;
     for _ in 0..LOAN_ATTEMPTS {
         exec::sleep(millis(LOAN_PAUSE_MS)).await;
-        answer = ask_once(&node, address, &ask).await;
+        answer = request_loan(&node, address, &ask).await;
         if answer.is_some() {
             break;
         }
@@ -135,12 +135,12 @@
     node.metrics.loans_open.dec();
     match answer {
         Some(0) => {}
-        Some(tokens) => take_in(&node, &name, &ask, tokens),
+        Some(tokens) => receive_loan(&node, &name, &ask, tokens),
         None => log::warn!("budget: loan {} of {} from {name} was never answered", ask.id, ask.budget),
     }
 }
 
-fn take_in<W: Ports>(node: &Node<W>, name: &str, ask: &Borrow, tokens: u64) {
+fn receive_loan<W: Ports>(node: &Node<W>, name: &str, ask: &BorrowRequest, tokens: u64) {
     node.grants.receive(&ask.budget, tokens);
     node.metrics.borrowed.inc_by(tokens);
     log::info!("budget: borrowed {tokens} tokens of {} from {name} under {}", ask.budget, ask.id);
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -6,7 +6,7 @@
 use bundle::Bundle;
 use http::StatusCode;
 use net::exec;
-use peer::View;
+use peer::FleetView;
 use route::{Budget, Choice, Desk, Entered, Report, Spec, Want, assign};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::{Mutex, MutexGuard};
@@ -14,15 +14,15 @@
 use upstream::Load;
 
 /// How long a new router lets the upstreams' reports limit it, in milliseconds.
-const WARM_MS: u64 = 30_000;
+const WARM_UP_MS: u64 = 30_000;
 /// The shortest time after which a refused caller should come back, in milliseconds.
-const COME_BACK_MS: u64 = 500;
+const MIN_RETRY_AFTER_MS: u64 = 500;
 
 #[derive(Debug)]
 struct State {
-    desk: Desk<Sender<Choice>>,
+    dispatcher: Desk<Sender<Choice>>,
     retries: Budget,
-    cache_seen: BTreeMap<String, u64>,
+    cache_sequences: BTreeMap<String, u64>,
     owners: BTreeMap<String, Vec<String>>,
 }
 
@@ -35,132 +35,144 @@
 
 impl<C: Clock> Schedule<C> {
     pub(crate) fn new(data_centre: &str, clock: C) -> Schedule<C> {
-        let mut desk = Desk::new(data_centre);
-        desk.board.warm_up(clock.now() + WARM_MS);
-        let state =
-            State { desk, retries: Budget::new(0.0), cache_seen: BTreeMap::new(), owners: BTreeMap::new() };
+        let mut dispatcher = Desk::new(data_centre);
+        dispatcher.board.warm_up(clock.now() + WARM_UP_MS);
+        let state = State {
+            dispatcher,
+            retries: Budget::new(0.0),
+            cache_sequences: BTreeMap::new(),
+            owners: BTreeMap::new(),
+        };
         Schedule { clock, state: Mutex::new(state) }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no thread panics while it holds the schedule")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
     /// Takes in a bundle and the routers that share the upstreams.
-    pub(crate) fn configure(&self, bundle: &Bundle, view: &View, me: &str) {
-        let sharers = view.sharers();
+    pub(crate) fn configure(&self, bundle: &Bundle, view: &FleetView, own_name: &str) {
+        let routers = view.router_names();
         let upstreams: Vec<(&str, u32)> =
             bundle.serving().map(|(name, upstream)| (name, upstream.slots)).collect();
-        let shares = assign(&upstreams, &sharers);
+        let assigned = assign(&upstreams, &routers);
         let mut state = self.lock();
         let mut mine = HashSet::new();
         for (name, upstream) in bundle.serving() {
-            let owners = &shares[name];
-            if let Some((_, slots)) = owners.iter().find(|(owner, _)| *owner == me) {
+            let owners = &assigned[name];
+            if let Some((_, slots)) = owners.iter().find(|(owner, _)| *owner == own_name) {
                 mine.insert(name);
                 let spec = Spec {
                     data_centre: upstream.data_centre.clone(),
                     limit: *slots,
                     models: upstream.models.clone(),
                 };
-                state.desk.board.set(name, spec);
+                state.dispatcher.board.set(name, spec);
             }
         }
-        state.desk.board.retain(|name| mine.contains(name));
-        state.owners = shares
+        state.dispatcher.board.retain(|name| mine.contains(name));
+        state.owners = assigned
             .iter()
             .map(|(name, owners)| {
                 let owners = owners.iter().map(|(owner, _)| (*owner).to_owned()).collect();
                 ((*name).to_owned(), owners)
             })
             .collect();
-        state.desk.set_most(bundle.limits.queue);
+        state.dispatcher.set_most(bundle.limits.queue);
         state.retries.set_share(bundle.limits.retry_share);
-        self.advance(&mut state);
+        self.dispatch_waiting(&mut state);
     }
 
     /// Takes in an upstream's load report.
-    pub(crate) fn report(&self, name: &str, load: &Load) {
+    pub(crate) fn record_report(&self, name: &str, load: &Load) {
         let now = self.clock.now();
         let mut state = self.lock();
         let report = Report { slots: load.slots, busy: load.running + load.waiting, leaving: load.leaving };
-        state.desk.board.report(name, report, now);
-        let seen = state.cache_seen.get(name).copied().unwrap_or(0);
+        state.dispatcher.board.report(name, report, now);
+        let seen = state.cache_sequences.get(name).copied().unwrap_or(0);
         for event in load.cache.iter().filter(|event| event.sequence > seen) {
-            state.desk.board.cache(name, event.prefix, event.added);
+            state.dispatcher.board.cache(name, event.prefix, event.added);
         }
         if let Some(last) = load.cache.last() {
-            state.cache_seen.insert(name.to_owned(), last.sequence.max(seen));
+            state.cache_sequences.insert(name.to_owned(), last.sequence.max(seen));
         }
-        self.advance(&mut state);
+        self.dispatch_waiting(&mut state);
     }
 
     /// Marks an upstream as leaving or staying.
-    pub(crate) fn leave(&self, name: &str, leaving: bool) -> bool {
-        self.lock().desk.board.leave(name, leaving)
+    pub(crate) fn set_leaving(&self, name: &str, leaving: bool) -> bool {
+        self.lock().dispatcher.board.leave(name, leaving)
     }
 
     /// Takes in that a peer knows an upstream to be leaving.
-    pub(crate) fn hear_leaving(&self, name: &str) -> bool {
+    pub(crate) fn record_leaving_hint(&self, name: &str) -> bool {
         let now = self.clock.now();
-        self.lock().desk.board.hear_leaving(name, now)
+        self.lock().dispatcher.board.hear_leaving(name, now)
     }
 
     /// The upstreams that this router itself found to be leaving.
     pub(crate) fn leaving(&self) -> Vec<String> {
-        self.lock().desk.board.leaving().map(ToOwned::to_owned).collect()
+        self.lock().dispatcher.board.leaving().map(ToOwned::to_owned).collect()
     }
 
     /// The upstreams as operators see them.
-    pub(crate) fn view(&self) -> BTreeMap<String, route::View> {
-        self.lock().desk.board.view(self.clock.now())
+    pub(crate) fn upstream_statuses(&self) -> BTreeMap<String, route::View> {
+        self.lock().dispatcher.board.view(self.clock.now())
     }
 
     /// Requests that wait.
     pub(crate) fn waiting(&self) -> usize {
-        self.lock().desk.waiting()
+        self.lock().dispatcher.waiting()
     }
 
     /// Notes a request that earns a share of a retry.
-    pub(crate) fn deposit(&self) {
+    pub(crate) fn earn_retry(&self) {
         self.lock().retries.deposit();
     }
 
     /// Takes a retry, if one was earned.
-    pub(crate) fn may_retry(&self) -> bool {
+    pub(crate) fn take_retry(&self) -> bool {
         self.lock().retries.withdraw()
     }
 
     /// Whether this router owns slots of an upstream that serves a model.
     pub(crate) fn serves(&self, model: &str) -> bool {
-        self.lock().desk.board.serves(model)
+        self.lock().dispatcher.board.serves(model)
     }
 
     /// Waits for an upstream; its slot is taken until [`Schedule::end`].
-    pub(crate) async fn choose(&self, want: &Want<'_>) -> Result<Choice, Refusal> {
+    pub(crate) async fn wait_for_upstream(&self, want: &Want<'_>) -> Result<Choice, Refusal> {
         let (chosen, choice) = async_channel::bounded(1);
         // A displaced request learns it because its sender is dropped.
-        let (entered, _displaced) = self.lock().desk.enter(want, chosen, self.clock.now());
+        let (entered, _displaced) = self.lock().dispatcher.enter(want, chosen, self.clock.now());
         let number = match entered {
             Entered::Chosen(choice) => return Ok(choice),
             Entered::Waiting(number) => number,
-            Entered::Nowhere => return Err(nowhere(want.model)),
-            Entered::Full(millis) => return Err(full(millis.max(COME_BACK_MS))),
+            Entered::Nowhere => return Err(no_upstream(want.model)),
+            Entered::Full(millis) => return Err(queue_full(millis.max(MIN_RETRY_AFTER_MS))),
             Entered::Late(millis) => {
-                return Err(late("it could not begin before its deadline", millis.max(COME_BACK_MS)));
+                return Err(too_late(
+                    "it could not begin before its deadline",
+                    millis.max(MIN_RETRY_AFTER_MS),
+                ));
             }
         };
-        let waiting = Waiting { schedule: self, model: want.model, number, choice };
+        let waiting = QueuedRequest { schedule: self, model: want.model, number, choice };
         let limit = Duration::from_millis(want.deadline.saturating_sub(self.clock.now()));
         match exec::timeout(limit, waiting.choice.recv()).await {
             Some(Ok(choice)) => Ok(choice),
-            Some(Err(_)) => Err(late("it was displaced by more urgent work", COME_BACK_MS)),
-            None => Err(late("no upstream became free before its deadline", COME_BACK_MS)),
+            Some(Err(_)) => Err(too_late("it was displaced by more urgent work", MIN_RETRY_AFTER_MS)),
+            None => Err(too_late("no upstream became free before its deadline", MIN_RETRY_AFTER_MS)),
         }
     }
 
     /// The upstream that all routers prefer for a prefix, and the routers that own it.
-    pub(crate) fn home(&self, bundle: &Bundle, model: &str, prefix: u64) -> Option<(String, Vec<String>)> {
+    pub(crate) fn home_upstream(
+        &self,
+        bundle: &Bundle,
+        model: &str,
+        prefix: u64,
+    ) -> Option<(String, Vec<String>)> {
         let serving: Vec<&str> = bundle
             .serving()
             .filter(|(_, upstream)| upstream.models.iter().any(|one| one == model))
@@ -180,73 +192,73 @@
     }
 
     /// Takes a slot of one upstream for a peer's request, if it is free.
-    pub(crate) fn take_at(&self, want: &Want<'_>, at: &str) -> Option<String> {
+    pub(crate) fn try_take_slot(&self, want: &Want<'_>, at: &str) -> Option<String> {
         let now = self.clock.now();
-        self.lock().desk.lend(want, Some(at), now)
+        self.lock().dispatcher.lend(want, Some(at), now)
     }
 
     /// Gives back a slot and lets the next request go.
-    pub(crate) fn end(&self, name: &str) {
+    pub(crate) fn release(&self, name: &str) {
         let mut state = self.lock();
-        state.desk.board.end(name);
-        self.advance(&mut state);
+        state.dispatcher.board.end(name);
+        self.dispatch_waiting(&mut state);
     }
 
     /// Notes that a run went well.
-    pub(crate) fn succeed(&self, name: &str, gap: Option<f64>) {
-        self.lock().desk.board.succeed(name, gap);
+    pub(crate) fn record_success(&self, name: &str, gap: Option<f64>) {
+        self.lock().dispatcher.board.succeed(name, gap);
     }
 
     /// Notes that a run failed; `true` if the upstream is ejected for it.
-    pub(crate) fn fail(&self, name: &str) -> bool {
+    pub(crate) fn record_failure(&self, name: &str) -> bool {
         let now = self.clock.now();
-        self.lock().desk.board.fail(name, now)
+        self.lock().dispatcher.board.fail(name, now)
     }
 
     /// Sends waiting requests off while upstreams are free.
-    fn advance(&self, state: &mut State) {
-        let sent = state.desk.advance(self.clock.now(), Sender::is_closed);
-        for (chosen, choice) in sent {
+    fn dispatch_waiting(&self, state: &mut State) {
+        let dispatched = state.dispatcher.advance(self.clock.now(), Sender::is_closed);
+        for (chosen, choice) in dispatched {
             let upstream = choice.upstream.clone();
             if chosen.try_send(choice).is_err() {
-                state.desk.board.end(&upstream);
+                state.dispatcher.board.end(&upstream);
             }
         }
     }
 }
 
 /// Takes a request out of the line when it no longer waits, and gives back a choice that nobody took.
-struct Waiting<'a, C: Clock> {
+struct QueuedRequest<'a, C: Clock> {
     schedule: &'a Schedule<C>,
     model: &'a str,
     number: u64,
     choice: Receiver<Choice>,
 }
 
-impl<C: Clock> Drop for Waiting<'_, C> {
+impl<C: Clock> Drop for QueuedRequest<'_, C> {
     fn drop(&mut self) {
         let mut state = self.schedule.lock();
         // Whether it got a slot here or at a peer, the line moved on by one.
-        state.desk.served(self.model, self.number, self.schedule.clock.now());
+        state.dispatcher.served(self.model, self.number, self.schedule.clock.now());
         if let Ok(choice) = self.choice.try_recv() {
-            state.desk.board.end(&choice.upstream);
-            self.schedule.advance(&mut state);
+            state.dispatcher.board.end(&choice.upstream);
+            self.schedule.dispatch_waiting(&mut state);
         }
     }
 }
 
-fn nowhere(model: &str) -> Refusal {
+fn no_upstream(model: &str) -> Refusal {
     let message = format!("no upstream serves model {model} at this router now");
     Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "no_upstream", "route", message)
-        .retry_after(COME_BACK_MS)
+        .retry_after(MIN_RETRY_AFTER_MS)
 }
 
-fn full(millis: u64) -> Refusal {
+fn queue_full(millis: u64) -> Refusal {
     let message = "too many requests wait for an upstream".to_owned();
     Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, "queue_full", "route", message).retry_after(millis)
 }
 
-fn late(reason: &str, millis: u64) -> Refusal {
+fn too_late(reason: &str, millis: u64) -> Refusal {
     let message = format!("the request was not sent to an upstream: {reason}");
     Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "too_late", "route", message).retry_after(millis)
 }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -4,15 +4,15 @@
 //! it, unless its route is repeatable and its body short. A call with a key is answered through a flight, as
 //! a model request is.
 
-use crate::claims::{self, Gate};
+use crate::claims::{self, ClaimOutcome};
 use crate::forward;
-use crate::front::{Entry, join, read_body};
+use crate::front::{AdmittedRequest, find_existing_run, read_body};
 use crate::job;
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::refusal::{Execution, Refusal};
 use crate::reserve::reserve;
-use crate::shared_answer::Flight;
+use crate::shared_answer::SharedAnswer;
 use budget::ledger::Charge;
 use bundle::Service;
 use http::header::{AUTHORIZATION, CONTENT_LENGTH};
@@ -27,37 +27,39 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Bodies up to this many bytes are kept, so that the call can be tried at another server.
-const KEPT_BYTES: u64 = 64 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 /// When a caller should come back after every server failed, in milliseconds.
 const FAILED_RETRY_MS: u64 = 1_000;
 
 /// Answers a call to a service.
 pub(crate) async fn answer<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: Entry,
+    admitted: AdmittedRequest,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
-    let target = Target::find(&entry, &request)?;
-    node.records.begin(&entry.id, &entry.access.budget, entry.bundle.sequence);
-    if entry.key.is_some() {
-        return keyed(node, entry, target, request).await;
+    let target = Target::resolve(&admitted, &request)?;
+    node.records.begin(&admitted.id, &admitted.access.budget, admitted.bundle.sequence);
+    if admitted.key.is_some() {
+        return answer_keyed(node, admitted, target, request).await;
     }
     let (parts, incoming) = request.into_parts();
     let length = parts.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-    if length.is_none_or(|length| length <= KEPT_BYTES) && !parts.headers.contains_key("transfer-encoding") {
-        let body = read_body(node, &entry.bundle, incoming).await?;
-        pay(node, &entry, &target).await?;
-        let result = call(node, &entry, &target, &parts, &body).await;
-        settle(node, &entry, &target, result.as_ref().err());
-        return result.map(|answer| forward::stream(answer, std::future::pending()));
+    if length.is_none_or(|length| length <= MAX_BUFFERED_BYTES)
+        && !parts.headers.contains_key("transfer-encoding")
+    {
+        let body = read_body(node, &admitted.bundle, incoming).await?;
+        reserve_cost(node, &admitted, &target).await?;
+        let result = call_servers(node, &admitted, &target, &parts, &body).await;
+        charge_or_release(node, &admitted, &target, result.as_ref().err());
+        return result.map(|answer| forward::relay(answer, std::future::pending()));
     }
-    pay(node, &entry, &target).await?;
-    let body = forward::stream(Response::new(incoming), std::future::pending()).into_body();
-    let address = target.addresses(&entry.id)[0];
-    let result = node.engine.forward(address, target.request(&parts, body)).await;
-    let result = result.map_err(|error| failed(&error.to_string(), error.fault));
-    settle(node, &entry, &target, result.as_ref().err());
-    result.map(|answer| forward::stream(answer, std::future::pending()))
+    reserve_cost(node, &admitted, &target).await?;
+    let body = forward::relay(Response::new(incoming), std::future::pending()).into_body();
+    let address = target.addresses(&admitted.id)[0];
+    let result = node.engine.forward(address, target.upstream_request(&parts, body)).await;
+    let result = result.map_err(|error| service_failure(&error.to_string(), error.fault));
+    charge_or_release(node, &admitted, &target, result.as_ref().err());
+    result.map(|answer| forward::relay(answer, std::future::pending()))
 }
 
 /// What a call is for.
@@ -71,10 +73,10 @@
 }
 
 impl Target {
-    fn find(entry: &Entry, request: &Request<Incoming>) -> Result<Target, Refusal> {
-        let rest = request.uri().path().trim_start_matches("/services/");
-        let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
-        let service = entry.bundle.content.services.get(name).cloned().ok_or_else(|| {
+    fn resolve(admitted: &AdmittedRequest, request: &Request<Incoming>) -> Result<Target, Refusal> {
+        let service_path = request.uri().path().trim_start_matches("/services/");
+        let (name, path) = service_path.split_once('/').unwrap_or((service_path, ""));
+        let service = admitted.bundle.content.services.get(name).cloned().ok_or_else(|| {
             let message = format!("service {name} is not known");
             Refusal::not_run(StatusCode::NOT_FOUND, "service_not_found", "parse", message)
         })?;
@@ -92,18 +94,18 @@
         addresses
     }
 
-    fn request(&self, parts: &Parts, body: Body) -> Request<Body> {
+    fn upstream_request(&self, parts: &Parts, body: Body) -> Request<Body> {
         let mut request = Request::new(body);
         *request.method_mut() = parts.method.clone();
         *request.uri_mut() = self.path.parse().unwrap_or_default();
         *request.headers_mut() = parts.headers.clone();
-        forward::strip(request.headers_mut());
+        forward::strip_connection_headers(request.headers_mut());
         request.headers_mut().remove(AUTHORIZATION);
         request
     }
 }
 
-fn failed(reason: &str, fault: Fault) -> Refusal {
+fn service_failure(reason: &str, fault: Fault) -> Refusal {
     let execution = match fault {
         Fault::NotRun => Execution::NotRun,
         Fault::Unknown => Execution::Unknown,
@@ -114,111 +116,120 @@
         .retry_after(FAILED_RETRY_MS)
 }
 
-async fn pay<W: Ports>(node: &Arc<Node<W>>, entry: &Entry, target: &Target) -> Result<(), Refusal> {
+async fn reserve_cost<W: Ports>(
+    node: &Arc<Node<W>>,
+    admitted: &AdmittedRequest,
+    target: &Target,
+) -> Result<(), Refusal> {
     match target.service.cost {
         0 => Ok(()),
-        cost => reserve(node, &entry.access.budget, cost).await,
+        cost => reserve(node, &admitted.access.budget, cost).await,
     }
 }
 
 /// Charges a call that was or may have been executed; gives its tokens back if it certainly was not.
-fn settle<W: Ports>(node: &Node<W>, entry: &Entry, target: &Target, refusal: Option<&Refusal>) {
+fn charge_or_release<W: Ports>(
+    node: &Node<W>,
+    admitted: &AdmittedRequest,
+    target: &Target,
+    refusal: Option<&Refusal>,
+) {
     let tokens = target.service.cost;
     if tokens == 0 {
         return;
     }
     if refusal.is_some_and(|refusal| refusal.execution == Execution::NotRun) {
-        return node.grants.release(&entry.access.budget, tokens);
+        return node.grants.release(&admitted.access.budget, tokens);
     }
-    let charge = Charge { request: entry.id.clone(), key: entry.key.clone(), tokens };
-    node.grants.charge(&entry.access.budget, tokens, charge);
+    let charge = Charge { request: admitted.id.clone(), key: admitted.key.clone(), tokens };
+    node.grants.charge(&admitted.access.budget, tokens, charge);
     node.metrics.charged.inc_by(tokens);
-    node.records.note(&entry.id, |record| record.charge = Some(tokens));
+    node.records.update(&admitted.id, |record| record.charge = Some(tokens));
 }
 
 /// Calls one server after the other, as long as trying again is safe.
-async fn call<W: Ports>(
+async fn call_servers<W: Ports>(
     node: &Node<W>,
-    entry: &Entry,
+    admitted: &AdmittedRequest,
     target: &Target,
     parts: &Parts,
     body: &Bytes,
 ) -> Result<Response<Incoming>, Refusal> {
     let mut worst = Fault::NotRun;
     let mut reason = String::new();
-    for address in target.addresses(&entry.id) {
+    for address in target.addresses(&admitted.id) {
         log::info!(
             "route: request={} team={} service={} chosen={address} reason=rotation bundle={}",
-            entry.id,
-            entry.access.team,
+            admitted.id,
+            admitted.access.team,
             target.name,
-            entry.bundle.sequence
+            admitted.bundle.sequence
         );
         node.metrics.decisions.with_label_values(&["rotation"]).inc();
-        match node.engine.forward(address, target.request(parts, Body::from(body.clone()))).await {
+        match node.engine.forward(address, target.upstream_request(parts, Body::from(body.clone()))).await {
             Ok(answer) => return Ok(answer),
             Err(error) => {
-                node.note(&entry.id, error.to_string());
+                node.record_step(&admitted.id, error.to_string());
                 reason = error.to_string();
                 if error.fault == Fault::Unknown {
                     worst = Fault::Unknown;
-                    if !target.repeatable || !node.schedule.may_retry() {
+                    if !target.repeatable || !node.schedule.take_retry() {
                         break;
                     }
                 }
             }
         }
     }
-    Err(failed(&reason, worst))
+    Err(service_failure(&reason, worst))
 }
 
-async fn keyed<W: Ports>(
+async fn answer_keyed<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: Entry,
+    admitted: AdmittedRequest,
     target: Target,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let (parts, body) = request.into_parts();
-    let body = read_body(node, &entry.bundle, body).await?;
+    let body = read_body(node, &admitted.bundle, body).await?;
     let content = format!("{} {} {}", parts.method, target.path, xxh3_64(&body));
-    let flight = Flight::new(&entry.id, xxh3_64(content.as_bytes()), true);
-    if let Some(response) = join(node, &entry, &flight, &parts, &body).await? {
+    let shared = SharedAnswer::new(&admitted.id, xxh3_64(content.as_bytes()), true);
+    if let Some(response) = find_existing_run(node, &admitted, &shared, &parts, &body).await? {
         return Ok(response);
     }
-    let following = flight.clone().follow();
-    node.open.fetch_add(1, Ordering::Relaxed);
+    let following = shared.clone().follow();
+    node.open_requests.fetch_add(1, Ordering::Relaxed);
     let node = node.clone();
     exec::spawn(async move {
-        let result = run(&node, &entry, &target, &parts, &body, &flight).await;
-        job::finish(&node, &entry, &flight, &result);
+        let result = run_or_replay(&node, &admitted, &target, &parts, &body, &shared).await;
+        job::finish_request(&node, &admitted, &shared, &result);
     })
     .detach();
     Ok(following.await)
 }
 
-async fn run<W: Ports>(
+async fn run_or_replay<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: &Entry,
+    admitted: &AdmittedRequest,
     target: &Target,
     parts: &Parts,
     body: &Bytes,
-    flight: &Arc<Flight>,
+    shared: &Arc<SharedAnswer>,
 ) -> Result<(), Refusal> {
     if target.repeatable {
-        return run_claimed(node, entry, target, parts, body, flight).await;
+        return run_claimed(node, admitted, target, parts, body, shared).await;
     }
-    match claims::gate(node, entry, parts, body).await? {
-        Gate::Run(claim) => {
-            let result = run_claimed(node, entry, target, parts, body, flight).await;
-            claims::close(node, entry, claim, &result, flight).await;
+    match claims::claim_or_find(node, admitted, parts, body).await? {
+        ClaimOutcome::Run(claim) => {
+            let result = run_claimed(node, admitted, target, parts, body, shared).await;
+            claims::record_outcome(node, admitted, claim, &result, shared).await;
             result
         }
-        Gate::Replay(answer) => {
-            flight.replay(&answer);
+        ClaimOutcome::Replay(answer) => {
+            shared.replay(&answer);
             Ok(())
         }
-        Gate::Passed(answer) => {
-            flight.copy_from(answer).await;
+        ClaimOutcome::Relayed(answer) => {
+            shared.copy_from(answer).await;
             Ok(())
         }
     }
@@ -226,15 +237,15 @@
 
 async fn run_claimed<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: &Entry,
+    admitted: &AdmittedRequest,
     target: &Target,
     parts: &Parts,
     body: &Bytes,
-    flight: &Flight,
+    shared: &SharedAnswer,
 ) -> Result<(), Refusal> {
-    pay(node, entry, target).await?;
-    let result = call(node, entry, target, parts, body).await;
-    settle(node, entry, target, result.as_ref().err());
-    flight.copy_from(result?).await;
+    reserve_cost(node, admitted, target).await?;
+    let result = call_servers(node, admitted, target, parts, body).await;
+    charge_or_release(node, admitted, target, result.as_ref().err());
+    shared.copy_from(result?).await;
     Ok(())
 }
--- a/crates/router/src/shared_answer.rs
+++ b/crates/router/src/shared_answer.rs
@@ -54,26 +54,26 @@
 
 /// One answer, as it comes.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct SharedAnswer {
     /// The request.
     pub request: String,
     /// The hash of the request's body: another body under the same key is a mistake.
     pub body: u64,
     /// Whether the answer is kept for a later caller although nobody follows it.
-    pub keep: bool,
-    passed_on: AtomicBool,
+    pub is_kept: bool,
+    is_from_peer: AtomicBool,
     state: Mutex<State>,
     changed: Event,
 }
 
-impl Flight {
-    pub(crate) fn new(request: &str, body: u64, keep: bool) -> Arc<Flight> {
+impl SharedAnswer {
+    pub(crate) fn new(request: &str, body: u64, is_kept: bool) -> Arc<SharedAnswer> {
         let request = request.to_owned();
-        Arc::new(Flight {
+        Arc::new(SharedAnswer {
             request,
             body,
-            keep,
-            passed_on: AtomicBool::new(false),
+            is_kept,
+            is_from_peer: AtomicBool::new(false),
             state: Mutex::default(),
             changed: Event::new(),
         })
@@ -151,13 +151,13 @@
     }
 
     /// Whether the answer comes, or may come, from another router.
-    pub(crate) fn is_passed_on(&self) -> bool {
-        self.passed_on.load(Ordering::Relaxed)
+    pub(crate) fn is_from_peer(&self) -> bool {
+        self.is_from_peer.load(Ordering::Relaxed)
     }
 
     /// Notes whether the answer comes from another router.
-    pub(crate) fn set_passed_on(&self, passed_on: bool) {
-        self.passed_on.store(passed_on, Ordering::Relaxed);
+    pub(crate) fn set_from_peer(&self, is_from_peer: bool) {
+        self.is_from_peer.store(is_from_peer, Ordering::Relaxed);
     }
 
     /// Whether the answer has ended.
@@ -167,7 +167,7 @@
 
     /// Whether nobody wants the answer any more.
     pub(crate) fn is_abandoned(&self) -> bool {
-        !self.keep && self.lock().followers == 0
+        !self.is_kept && self.lock().followers == 0
     }
 
     /// Waits until nobody wants the answer any more; for ever if it is kept.
@@ -182,10 +182,10 @@
     }
 
     /// The status and the whole body, once the answer has ended well.
-    pub(crate) fn whole(&self) -> Option<(Head, Vec<u8>)> {
+    pub(crate) fn complete(&self) -> Option<(Head, Vec<u8>)> {
         let state = self.lock();
-        let complete = state.end == Some(End::Complete);
-        let head = state.head.clone().filter(|_| complete)?;
+        let is_complete = state.end == Some(End::Complete);
+        let head = state.head.clone().filter(|_| is_complete)?;
         Some((head, state.chunks.concat()))
     }
 
@@ -196,11 +196,11 @@
         let follower = Follower::new(self.clone());
         async move {
             let head = self.head().await;
-            let body = match self.whole() {
+            let body = match self.complete() {
                 Some((_, bytes)) => Body::from(bytes),
                 None => {
                     let (pipe, body) = net::pipe();
-                    net::exec::spawn(copy(follower, pipe)).detach();
+                    net::exec::spawn(write_to_caller(follower, pipe)).detach();
                     body
                 }
             };
@@ -219,7 +219,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no thread panics while it holds a flight")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 }
 
@@ -240,12 +240,12 @@
 }
 
 /// Counts a caller for as long as it follows.
-struct Follower(Arc<Flight>);
+struct Follower(Arc<SharedAnswer>);
 
 impl Follower {
-    fn new(flight: Arc<Flight>) -> Follower {
-        flight.lock().followers += 1;
-        Follower(flight)
+    fn new(answer: Arc<SharedAnswer>) -> Follower {
+        answer.lock().followers += 1;
+        Follower(answer)
     }
 }
 
@@ -256,24 +256,24 @@
     }
 }
 
-async fn copy(follower: Follower, pipe: Pipe) {
-    let flight = &follower.0;
+async fn write_to_caller(follower: Follower, pipe: Pipe) {
+    let answer = &follower.0;
     let mut next = 0;
     loop {
-        let listener = flight.changed.listen();
-        let (fresh, end) = {
-            let mut state = flight.lock();
-            let fresh: Vec<Bytes> = state.chunks.get(next..).unwrap_or_default().to_vec();
-            if !flight.keep {
+        let listener = answer.changed.listen();
+        let (new_chunks, end) = {
+            let mut state = answer.lock();
+            let new_chunks: Vec<Bytes> = state.chunks.get(next..).unwrap_or_default().to_vec();
+            if !answer.is_kept {
                 // Nobody else reads these, so they need not be kept.
                 state.chunks.clear();
                 next = 0;
             } else {
-                next += fresh.len();
+                next += new_chunks.len();
             }
-            (fresh, state.end.clone())
+            (new_chunks, state.end.clone())
         };
-        for chunk in fresh {
+        for chunk in new_chunks {
             if !pipe.write(chunk).await {
                 return;
             }
@@ -291,55 +291,57 @@
 
 /// The flights of requests with a key, in shards under their own locks.
 #[derive(Debug)]
-pub(crate) struct Flights {
-    shards: Vec<Mutex<HashMap<String, Entry>>>,
-    kept_ms: u64,
+pub(crate) struct SharedAnswers {
+    shards: Vec<Mutex<HashMap<String, TableEntry>>>,
+    retention_ms: u64,
 }
 
 #[derive(Debug)]
-struct Entry {
-    flight: Arc<Flight>,
+struct TableEntry {
+    answer: Arc<SharedAnswer>,
     since: u64,
 }
 
 /// What the table of flights says of a key.
 #[derive(Debug)]
-pub(crate) enum Found {
+pub(crate) enum Lookup {
     /// The request is new; it is entered now.
     New,
     /// The same request was entered before.
-    Same(Arc<Flight>),
+    Same(Arc<SharedAnswer>),
     /// Another request has this key.
-    Other,
+    Mismatch,
 }
 
-impl Flights {
+impl SharedAnswers {
     /// Keeps answers for `kept_ms` milliseconds.
-    pub(crate) fn new(kept_ms: u64) -> Flights {
-        Flights { shards: (0..SHARDS).map(|_| Mutex::default()).collect(), kept_ms }
+    pub(crate) fn new(retention_ms: u64) -> SharedAnswers {
+        SharedAnswers { shards: (0..SHARDS).map(|_| Mutex::default()).collect(), retention_ms }
     }
 
     /// Finds the flight of `key`, or enters `flight`.
-    pub(crate) fn enter(&self, key: &str, flight: &Arc<Flight>, now: u64) -> Found {
+    pub(crate) fn find_or_insert(&self, key: &str, answer: &Arc<SharedAnswer>, now: u64) -> Lookup {
         let mut shard = self.shard(key);
-        shard.retain(|_, entry| now.saturating_sub(entry.since) < self.kept_ms || !entry.flight.has_ended());
+        shard.retain(|_, entry| {
+            now.saturating_sub(entry.since) < self.retention_ms || !entry.answer.has_ended()
+        });
         match shard.get(key) {
-            Some(entry) if entry.flight.body == flight.body => Found::Same(entry.flight.clone()),
-            Some(_) => Found::Other,
+            Some(entry) if entry.answer.body == answer.body => Lookup::Same(entry.answer.clone()),
+            Some(_) => Lookup::Mismatch,
             None => {
-                shard.insert(key.to_owned(), Entry { flight: flight.clone(), since: now });
-                Found::New
+                shard.insert(key.to_owned(), TableEntry { answer: answer.clone(), since: now });
+                Lookup::New
             }
         }
     }
 
     /// Forgets a flight, so that the key may be tried again.
-    pub(crate) fn forget(&self, key: &str) {
+    pub(crate) fn remove(&self, key: &str) {
         self.shard(key).remove(key);
     }
 
-    fn shard(&self, key: &str) -> MutexGuard<'_, HashMap<String, Entry>> {
+    fn shard(&self, key: &str) -> MutexGuard<'_, HashMap<String, TableEntry>> {
         let index = xxhash_rust::xxh3::xxh3_64(key.as_bytes()) as usize % SHARDS;
-        self.shards[index].lock().expect("the flights' lock")
+        self.shards[index].lock().expect("no thread panics while it holds the lock")
     }
 }
--- a/crates/router/src/slot.rs
+++ b/crates/router/src/slot.rs
@@ -6,8 +6,8 @@
 //! lost on the way.
 
 use crate::clock::Clock;
-use crate::front::Entry;
-use crate::model_request::Ask;
+use crate::front::AdmittedRequest;
+use crate::model_request::ModelRequest;
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::refusal::Refusal;
@@ -17,7 +17,7 @@
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use net::exec;
-use peer::{LinkClient, SlotAsk};
+use peer::{LinkClient, SlotRequest};
 use rand::Rng;
 use route::{Choice, Reason, Want};
 use std::collections::{HashMap, VecDeque};
@@ -27,34 +27,34 @@
 use uuid::Uuid;
 
 /// Bytes of a request from which a slot at the prefix's preferred upstream is worth a message to its owner.
-const HOME_BYTES: u64 = 1_024;
+const MIN_HOME_PROMPT_BYTES: u64 = 1_024;
 /// The pause before other peers are asked, after all that were asked have declined, in milliseconds.
-const ASK_AGAIN_MS: u64 = 250;
+const PEERS_RETRY_MS: u64 = 250;
 /// Ended loans that are remembered, so that a late request takes nothing.
-const ENDED_KEPT: usize = 10_000;
+const MAX_ENDED_LOANS: usize = 10_000;
 /// How often a slot is given back until the lender has answered, and the pause between, in milliseconds.
-const GIVE_BACK_ATTEMPTS: u32 = 40;
-const GIVE_BACK_PAUSE_MS: u64 = 250;
+const RETURN_ATTEMPTS: u32 = 40;
+const RETURN_PAUSE_MS: u64 = 250;
 
 /// A taken slot.
 #[derive(Debug)]
 pub(crate) struct Slot {
     /// The upstream.
     pub upstream: String,
-    loan: Option<Loan>,
+    loan: Option<BorrowedSlot>,
     failed: AtomicBool,
 }
 
 impl Slot {
     /// Notes that the upstream failed the run.
-    pub(crate) fn fail(&self) {
+    pub(crate) fn mark_failed(&self) {
         self.failed.store(true, Ordering::Relaxed);
     }
 }
 
 /// A request for a slot at a peer.
 #[derive(Clone, Debug)]
-struct Loan {
+struct BorrowedSlot {
     id: String,
     lender: SocketAddr,
 }
@@ -62,17 +62,17 @@
 /// Gets a slot for a request.
 pub(crate) async fn acquire<W: Ports>(
     node: &Arc<Node<W>>,
-    entry: &Entry,
-    ask: &Ask,
+    admitted: &AdmittedRequest,
+    ask: &ModelRequest,
     want: &Want<'_>,
 ) -> Result<(Choice, Slot), Refusal> {
-    let home = node.schedule.home(&entry.bundle.content, want.model, want.prefix);
+    let home = node.schedule.home_upstream(&admitted.bundle.content, want.model, want.prefix);
     let (home, owners) = home.unwrap_or_default();
     let is_mine = owners.contains(&node.settings.name);
     let owners = addresses(node, &owners);
-    if ask.prompt_bound >= HOME_BYTES && !is_mine && !want.avoid.contains(&home) {
+    if ask.max_prompt_tokens >= MIN_HOME_PROMPT_BYTES && !is_mine && !want.avoid.contains(&home) {
         for lender in &owners {
-            if let Some(taken) = ask_peer(node, *lender, want, Some(&home)).await {
+            if let Some(taken) = request_from_peer(node, *lender, want, Some(&home)).await {
                 return Ok(taken);
             }
         }
@@ -82,17 +82,17 @@
             // With fewer upstreams than routers some own none, and live on what the owners lend.
             exec::sleep(millis(want.deadline.saturating_sub(node.clock.now()))).await;
         }
-        let choice = node.schedule.choose(want).await?;
+        let choice = node.schedule.wait_for_upstream(want).await?;
         let slot = Slot { upstream: choice.upstream.clone(), loan: None, failed: AtomicBool::new(false) };
         Ok((choice, slot))
     };
     let lent = async {
         loop {
-            if let Some(taken) = wait_at_peers(node, &owners, want).await {
+            if let Some(taken) = request_from_peers(node, &owners, want).await {
                 return Ok(taken);
             }
             // None of them can serve it now; its own router still has it in line.
-            exec::sleep(millis(ASK_AGAIN_MS)).await;
+            exec::sleep(millis(PEERS_RETRY_MS)).await;
         }
     };
     // The first is polled first: peers are only asked if the request has to wait here.
@@ -101,17 +101,17 @@
 
 /// The addresses of those of `names` that are thought to be alive.
 fn addresses<W: Ports>(node: &Node<W>, names: &[String]) -> Vec<SocketAddr> {
-    let alive = node.alive();
+    let alive = node.alive_peers();
     alive.into_iter().filter(|(name, _)| names.contains(name)).map(|(_, address)| address).collect()
 }
 
-async fn wait_at_peers<W: Ports>(
+async fn request_from_peers<W: Ports>(
     node: &Arc<Node<W>>,
     owners: &[SocketAddr],
     want: &Want<'_>,
 ) -> Option<(Choice, Slot)> {
     let mut lenders = owners.to_vec();
-    let alive = node.alive();
+    let alive = node.alive_peers();
     if !alive.is_empty() {
         let random = rand::thread_rng().gen_range(0..alive.len());
         lenders.push(alive[random].1);
@@ -119,7 +119,7 @@
     lenders.sort_unstable();
     lenders.dedup();
     let mut asks: FuturesUnordered<_> =
-        lenders.into_iter().map(|lender| ask_peer(node, lender, want, None)).collect();
+        lenders.into_iter().map(|lender| request_from_peer(node, lender, want, None)).collect();
     while let Some(taken) = asks.next().await {
         if taken.is_some() {
             return taken;
@@ -128,14 +128,14 @@
     None
 }
 
-async fn ask_peer<W: Ports>(
+async fn request_from_peer<W: Ports>(
     node: &Arc<Node<W>>,
     lender: SocketAddr,
     want: &Want<'_>,
     at: Option<&str>,
 ) -> Option<(Choice, Slot)> {
     let wait_ms = if at.is_some() { 0 } else { want.deadline.saturating_sub(node.clock.now()) };
-    let ask = SlotAsk {
+    let ask = SlotRequest {
         id: Uuid::new_v4().to_string(),
         borrower: node.holder.clone(),
         model: want.model.to_owned(),
@@ -148,7 +148,7 @@
         at: at.map(ToOwned::to_owned),
     };
     // Whatever happens to this request, the lender learns that it is over: the guard gives back.
-    let mut guard = Guard { node: node.clone(), loan: Some(Loan { id: ask.id.clone(), lender }) };
+    let mut guard = LoanGuard { node: node.clone(), loan: Some(BorrowedSlot { id: ask.id.clone(), lender }) };
     let limit = millis(wait_ms + node.settings.limits.peer_ms);
     let call = |client: LinkClient, context| async move { client.slot(context, ask).await };
     let upstream = match node.peers.call_within(limit, "slot", lender, call).await {
@@ -168,38 +168,38 @@
 }
 
 /// Gives a loan back when it is dropped before it was taken.
-struct Guard<W: Ports> {
+struct LoanGuard<W: Ports> {
     node: Arc<Node<W>>,
-    loan: Option<Loan>,
+    loan: Option<BorrowedSlot>,
 }
 
-impl<W: Ports> Drop for Guard<W> {
+impl<W: Ports> Drop for LoanGuard<W> {
     fn drop(&mut self) {
         if let Some(loan) = self.loan.take() {
-            give_back(&self.node, loan, false);
+            return_slot(&self.node, loan, false);
         }
     }
 }
 
 /// Ends the use of a slot.
-pub(crate) fn end<W: Ports>(node: &Arc<Node<W>>, slot: Slot) {
+pub(crate) fn release<W: Ports>(node: &Arc<Node<W>>, slot: Slot) {
     match slot.loan {
-        None => node.schedule.end(&slot.upstream),
-        Some(loan) => give_back(node, loan, slot.failed.load(Ordering::Relaxed)),
+        None => node.schedule.release(&slot.upstream),
+        Some(loan) => return_slot(node, loan, slot.failed.load(Ordering::Relaxed)),
     }
 }
 
 /// Tells the lender until it answers; if it never does, it takes the slot back by itself.
-fn give_back<W: Ports>(node: &Arc<Node<W>>, loan: Loan, failed: bool) {
+fn return_slot<W: Ports>(node: &Arc<Node<W>>, loan: BorrowedSlot, failed: bool) {
     let node = node.clone();
     exec::spawn(async move {
-        for _ in 0..GIVE_BACK_ATTEMPTS {
+        for _ in 0..RETURN_ATTEMPTS {
             let id = loan.id.clone();
             let call = |client: LinkClient, context| async move { client.free(context, id, failed).await };
             if node.peers.call("free", loan.lender, call).await.is_ok() {
                 return;
             }
-            exec::sleep(millis(GIVE_BACK_PAUSE_MS)).await;
+            exec::sleep(millis(RETURN_PAUSE_MS)).await;
         }
         log::warn!("route: slot {} could not be given back to {}", loan.id, loan.lender);
     })
@@ -208,18 +208,18 @@
 
 /// The slots that this router lends.
 #[derive(Debug, Default)]
-pub(crate) struct Loans {
+pub(crate) struct SlotLoans {
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    loans: HashMap<String, Lent>,
+    loans: HashMap<String, LoanState>,
     ended: VecDeque<String>,
 }
 
 #[derive(Debug)]
-enum Lent {
+enum LoanState {
     /// A request waits; closing the channel withdraws it.
     Waiting(Sender<()>),
     /// A slot is lent.
@@ -228,9 +228,9 @@
     Ended,
 }
 
-impl Loans {
+impl SlotLoans {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no thread panics while it holds the loans")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
     /// Lends a slot, as soon as one is free.
@@ -238,15 +238,15 @@
         &self,
         schedule: &Schedule<C>,
         now: u64,
-        ask: SlotAsk,
+        ask: SlotRequest,
     ) -> Option<String> {
         let (withdraw, withdrawn) = async_channel::bounded::<()>(1);
         {
             let mut state = self.lock();
             match state.loans.get(&ask.id) {
-                Some(Lent::Held { upstream, .. }) => return Some(upstream.clone()),
+                Some(LoanState::Held { upstream, .. }) => return Some(upstream.clone()),
                 Some(_) => return None,
-                None => state.loans.insert(ask.id.clone(), Lent::Waiting(withdraw)),
+                None => state.loans.insert(ask.id.clone(), LoanState::Waiting(withdraw)),
             };
         }
         let want = Want {
@@ -259,9 +259,10 @@
             deadline: now + ask.wait_ms,
         };
         let upstream = match &ask.at {
-            Some(at) => schedule.take_at(&want, at),
+            Some(at) => schedule.try_take_slot(&want, at),
             None => {
-                let chosen = async { schedule.choose(&want).await.ok().map(|choice| choice.upstream) };
+                let chosen =
+                    async { schedule.wait_for_upstream(&want).await.ok().map(|choice| choice.upstream) };
                 let over = async {
                     let _ = withdrawn.recv().await;
                     None
@@ -269,28 +270,28 @@
                 smol::future::or(chosen, over).await
             }
         };
-        self.conclude(schedule, now, ask, upstream)
+        self.complete_loan(schedule, now, ask, upstream)
     }
 
     /// Notes what a request got, unless it was withdrawn meanwhile.
-    fn conclude<C: Clock>(
+    fn complete_loan<C: Clock>(
         &self,
         schedule: &Schedule<C>,
         now: u64,
-        ask: SlotAsk,
+        ask: SlotRequest,
         upstream: Option<String>,
     ) -> Option<String> {
         let mut state = self.lock();
-        let waits = matches!(state.loans.get(&ask.id), Some(Lent::Waiting(_)));
+        let waits = matches!(state.loans.get(&ask.id), Some(LoanState::Waiting(_)));
         match upstream {
             Some(upstream) if waits => {
-                let held = Lent::Held { upstream: upstream.clone(), borrower: ask.borrower, since: now };
+                let held = LoanState::Held { upstream: upstream.clone(), borrower: ask.borrower, since: now };
                 state.loans.insert(ask.id, held);
                 Some(upstream)
             }
             Some(upstream) => {
                 drop(state);
-                schedule.end(&upstream);
+                schedule.release(&upstream);
                 None
             }
             None => {
@@ -306,11 +307,11 @@
     pub(crate) fn take_back<C: Clock>(&self, schedule: &Schedule<C>, id: &str, failed: bool) {
         let before = {
             let mut state = self.lock();
-            let before = state.loans.insert(id.to_owned(), Lent::Ended);
-            if !matches!(before, Some(Lent::Ended)) {
+            let before = state.loans.insert(id.to_owned(), LoanState::Ended);
+            if !matches!(before, Some(LoanState::Ended)) {
                 state.ended.push_back(id.to_owned());
             }
-            if state.ended.len() > ENDED_KEPT
+            if state.ended.len() > MAX_ENDED_LOANS
                 && let Some(oldest) = state.ended.pop_front()
             {
                 state.loans.remove(&oldest);
@@ -318,25 +319,25 @@
             before
         };
         match before {
-            Some(Lent::Held { upstream, .. }) => {
+            Some(LoanState::Held { upstream, .. }) => {
                 if failed {
-                    schedule.fail(&upstream);
+                    schedule.record_failure(&upstream);
                 }
-                schedule.end(&upstream);
+                schedule.release(&upstream);
             }
-            Some(Lent::Waiting(withdraw)) => {
+            Some(LoanState::Waiting(withdraw)) => {
                 withdraw.close();
             }
-            Some(Lent::Ended) | None => {}
+            Some(LoanState::Ended) | None => {}
         }
     }
 
     /// The slots lent before `then` whose borrower is gone.
     pub(crate) fn overdue(&self, then: u64, is_gone: impl Fn(&str) -> bool) -> Vec<String> {
         let state = self.lock();
-        let overdue = |lent: &Lent| match lent {
-            Lent::Held { borrower, since, .. } => *since < then && is_gone(borrower),
-            Lent::Waiting(_) | Lent::Ended => false,
+        let overdue = |lent: &LoanState| match lent {
+            LoanState::Held { borrower, since, .. } => *since < then && is_gone(borrower),
+            LoanState::Waiting(_) | LoanState::Ended => false,
         };
         state.loans.iter().filter(|(_, lent)| overdue(lent)).map(|(id, _)| id.clone()).collect()
     }
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -2,12 +2,12 @@
 
 use crate::clock::Clock;
 use crate::membership;
-use crate::node::{Access, InForce, Node};
+use crate::node::{Access, ActiveBundle, Node};
 use crate::ports::Ports;
 use crate::settings::millis;
 use bundle::{Bundle, Manifest, Signed};
 use net::exec;
-use peer::{Beat, LinkClient};
+use peer::{Heartbeat, LinkClient};
 use roll::{Accepted, HEAD, object_key};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use store::{Store, Table};
 
 /// Reads of the head that all routers together make in a second.
-const FLEET_RATE: u64 = 400;
+const FLEET_HEAD_READS_PER_S: u64 = 400;
 
 /// Why a bundle was not put in force.
 #[derive(Clone, Debug, thiserror::Error)]
@@ -41,8 +41,8 @@
 
 /// Watches the platform's head row.
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>) {
-    membership::introduce(&node).await;
-    while !node.is_closed() {
+    membership::join_fleet(&node).await;
+    while !node.is_stopped() {
         match node.platform.read(&[HEAD.to_owned()]).await {
             Ok(rows) => {
                 let head = rows.into_iter().next().flatten();
@@ -53,13 +53,13 @@
             }
             Err(error) => log::debug!("bundle: {error}"),
         }
-        let pause = node.settings.limits.poll_ms.max(node.fleet_size() * 1_000 / FLEET_RATE);
+        let pause = node.settings.limits.poll_ms.max(node.fleet_size() * 1_000 / FLEET_HEAD_READS_PER_S);
         exec::sleep(millis(pause)).await;
     }
 }
 
 /// Adopts the bundle that a peer has in force, if it is later.
-pub(crate) async fn adopt_from_peer<W: Ports>(node: &Arc<Node<W>>, beat: &Beat) {
+pub(crate) async fn adopt_from_peer<W: Ports>(node: &Arc<Node<W>>, beat: &Heartbeat) {
     adopt(node, beat.sequence, &beat.manifest, Source::Peer(beat.address)).await;
 }
 
@@ -75,9 +75,9 @@
     if sequence <= current.sequence {
         return;
     }
-    match build(node, &current, sequence, manifest, source).await {
+    match fetch_bundle(node, &current, sequence, manifest, source).await {
         Ok(next) => {
-            if node.put_in_force(next) {
+            if node.activate_bundle(next) {
                 log::info!("bundle: sequence {sequence} is in force, from {source:?}");
             }
         }
@@ -89,14 +89,14 @@
     }
 }
 
-async fn build<W: Ports>(
+async fn fetch_bundle<W: Ports>(
     node: &Arc<Node<W>>,
-    current: &InForce,
+    current: &ActiveBundle,
     sequence: u64,
     digest: &str,
     source: Source,
-) -> Result<InForce, Error> {
-    let fetched = fetch(node, &[digest.to_owned()], source).await?;
+) -> Result<ActiveBundle, Error> {
+    let fetched = fetch_parts(node, &[digest.to_owned()], source).await?;
     let text = fetched.get(digest).ok_or_else(|| Error::Fetch("the manifest is not there".to_owned()))?;
     let signed: Signed = serde_json::from_str(text)
         .map_err(|error| bundle::Error::Unreadable("signed manifest".to_owned(), error.to_string()))?;
@@ -110,9 +110,9 @@
     }
 
     let mut parts = HashMap::new();
-    collect(node, current, manifest.sections.values(), source, &mut parts).await?;
+    collect_parts(node, current, manifest.sections.values(), source, &mut parts).await?;
     let teams = bundle::team_digests(&manifest, |digest| parts.get(digest).map(String::as_str))?;
-    collect(node, current, teams.values(), source, &mut parts).await?;
+    collect_parts(node, current, teams.values(), source, &mut parts).await?;
     parts.insert(digest.to_owned(), text.clone());
     let find = |digest: &str| parts.get(digest).map(String::as_str);
     let content = bundle::join(&manifest, find, |digest| current.teams.get(digest).cloned())?;
@@ -120,15 +120,15 @@
         .into_iter()
         .filter_map(|(name, digest)| content.teams.get(&name).map(|team| (digest, team.clone())))
         .collect();
-    let keys = access(&content);
+    let keys = access_keys(&content);
     let since = node.clock.now();
-    Ok(InForce { sequence, manifest: digest.to_owned(), parts, teams, content, keys, since })
+    Ok(ActiveBundle { sequence, manifest: digest.to_owned(), parts, teams, content, keys, since })
 }
 
 /// Gathers parts: those in force are at hand, the others are fetched.
-async fn collect<W: Ports>(
+async fn collect_parts<W: Ports>(
     node: &Arc<Node<W>>,
-    current: &InForce,
+    current: &ActiveBundle,
     digests: impl Iterator<Item = &String>,
     source: Source,
     parts: &mut HashMap<String, String>,
@@ -142,11 +142,11 @@
             None => missing.push(digest.clone()),
         }
     }
-    parts.extend(fetch(node, &missing, source).await?);
+    parts.extend(fetch_parts(node, &missing, source).await?);
     Ok(())
 }
 
-async fn fetch<W: Ports>(
+async fn fetch_parts<W: Ports>(
     node: &Node<W>,
     digests: &[String],
     source: Source,
@@ -174,7 +174,7 @@
 }
 
 /// The access keys by hash.
-fn access(bundle: &Bundle) -> HashMap<String, Access> {
+fn access_keys(bundle: &Bundle) -> HashMap<String, Access> {
     let mut keys = HashMap::new();
     for (name, team) in &bundle.teams {
         for key in &team.keys {
--- a/crates/router/src/sync.rs
+++ b/crates/router/src/sync.rs
@@ -18,13 +18,13 @@
 use store::{Error, Fault, Row, Table, Tx, Verdict};
 
 /// Settlements a second that all routers together may ask of the platform.
-const FLEET_RATE: u64 = 280;
+const FLEET_SETTLEMENTS_PER_S: u64 = 280;
 /// The pause after a failed attempt, at first and at most, in milliseconds.
 const BACKOFF_MS: (u64, u64) = (20, 1_000);
 
 /// The row that makes a charge of a keyed request unique (I2).
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct Charged {
+pub(crate) struct ChargeRow {
     /// The request that charged.
     pub request: String,
     /// Tokens.
@@ -57,17 +57,18 @@
 }
 
 /// Runs settlements until the node has stopped.
-pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, kicked: async_channel::Receiver<()>) {
+pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: async_channel::Receiver<()>) {
     let mut last = node.clock.now();
-    while !node.is_closed() {
+    while !node.is_stopped() {
         let fleet = node.fleet_size();
-        let period = Duration::from_millis(node.settings.limits.sync_ms.max(fleet * 1_000 / FLEET_RATE));
-        let spacing = Duration::from_millis(fleet * 500 / FLEET_RATE);
-        if !node.grants.is_short(node.clock.now()) {
-            let kick = async {
-                let _ = kicked.recv().await;
+        let period =
+            Duration::from_millis(node.settings.limits.sync_ms.max(fleet * 1_000 / FLEET_SETTLEMENTS_PER_S));
+        let spacing = Duration::from_millis(fleet * 500 / FLEET_SETTLEMENTS_PER_S);
+        if !node.grants.needs_settlement(node.clock.now()) {
+            let request = async {
+                let _ = requested.recv().await;
             };
-            smol::future::or(kick, exec::sleep(period)).await;
+            smol::future::or(request, exec::sleep(period)).await;
         }
         let now = node.clock.now();
         settle(&node, now, now - last, false).await;
@@ -78,34 +79,34 @@
 
 /// Settles everything that is dirty in one batch; `false` if there was nothing.
 pub(crate) async fn settle<W: Ports>(node: &Node<W>, now: u64, elapsed_ms: u64, close: bool) -> bool {
-    let _settling = node.settling.lock().await;
+    let _settling = node.settlement_lock.lock().await;
     // After the last settlement nothing may be drawn again.
-    if node.is_closed() && !close {
+    if node.is_stopped() && !close {
         return false;
     }
     let bundle = node.bundle();
-    let entries = node.grants.open(&bundle.content, now, elapsed_ms, close);
+    let entries = node.grants.open_entries(&bundle.content, now, elapsed_ms, close);
     if entries.is_empty() {
         return false;
     }
     let sequence = node.next_batch();
-    let batch = Batch { sequence, entries, keeper: node.keep.choose(node) };
+    let batch = Batch { sequence, entries, keeper: node.account_keeping.choose_keeper(node) };
     let mut pause = BACKOFF_MS.0;
     loop {
         match attempt(node, &batch).await {
             Attempt::Posted(account, pools) => {
                 for budget in batch.entries.keys() {
                     let line = account.lines.get(budget).copied().unwrap_or_default();
-                    node.grants.close(budget, &line, pools.get(budget), node.clock.now());
+                    node.grants.close_entry(budget, &line, pools.get(budget), node.clock.now());
                 }
                 node.set_platform_up(true);
-                node.keep.settled(node, &batch.keeper, account.closed).await;
+                node.account_keeping.record_settlement(node, &batch.keeper, account.closed).await;
                 return true;
             }
-            Attempt::Conflict => node.count_platform("settle", "conflict"),
+            Attempt::Conflict => node.count_platform_call("settle", "conflict"),
             Attempt::Failed(error) => {
                 node.set_platform_up(false);
-                node.count_platform("settle", "failed");
+                node.count_platform_call("settle", "failed");
                 log::warn!("settle: batch {sequence} waits: {error}");
                 pause = (pause * 2).min(BACKOFF_MS.1);
             }
@@ -133,51 +134,51 @@
         Ok(rows) => rows,
         Err(error) => return Attempt::Failed(error),
     };
-    let read: BTreeMap<&str, &Row> =
+    let current: BTreeMap<&str, &Row> =
         keys.iter().zip(&rows).filter_map(|(key, row)| row.as_ref().map(|row| (key.as_str(), row))).collect();
-    let mut account: Account = match decode(&read, &account_key) {
+    let mut account: Account = match decode(&current, &account_key) {
         Ok(account) => account,
         Err(error) => return Attempt::Failed(error),
     };
     let mut pools = BTreeMap::new();
     for budget in batch.entries.keys() {
-        match decode::<Pool>(&read, &pool_key(budget)) {
+        match decode::<Pool>(&current, &pool_key(budget)) {
             Ok(pool) => pools.insert(budget.clone(), pool),
             Err(error) => return Attempt::Failed(error),
         };
     }
     let charged = |identity: &KeyRef<'_>| {
         let key = identity_key("charge", identity.budget, identity.key);
-        let row = read.get(key.as_str()).and_then(|row| row.decode::<Charged>().ok());
+        let row = current.get(key.as_str()).and_then(|row| row.decode::<ChargeRow>().ok());
         row.is_some_and(|row| row.request != identity.request)
     };
     match post(&mut account, &mut pools, &charged, batch, node.fleet_size()) {
         Ok(()) => {}
         // An earlier attempt took effect and its answer was lost.
         Err(PostError::Posted(_)) => return Attempt::Posted(account, pools),
-        Err(error) => return Attempt::Failed(refused(error.to_string())),
+        Err(error) => return Attempt::Failed(settle_error(error.to_string())),
     }
 
     let mut tx = Tx::default();
-    tx = tx.unchanged(&account_key, read.get(account_key.as_str()).copied()).put(&account_key, &account);
+    tx = tx.unchanged(&account_key, current.get(account_key.as_str()).copied()).put(&account_key, &account);
     for (budget, pool) in &pools {
         let key = pool_key(budget);
-        tx = tx.unchanged(&key, read.get(key.as_str()).copied()).put(&key, pool);
+        tx = tx.unchanged(&key, current.get(key.as_str()).copied()).put(&key, pool);
     }
     for (budget, entry) in &batch.entries {
         for charge in &entry.charges {
             let Some(text) = &charge.key else { continue };
             let key = identity_key("charge", budget, text);
-            let row = Charged { request: charge.request.clone(), tokens: charge.tokens };
-            tx = match read.get(key.as_str()) {
-                Some(_) => tx.unchanged(&key, read.get(key.as_str()).copied()),
+            let row = ChargeRow { request: charge.request.clone(), tokens: charge.tokens };
+            tx = match current.get(key.as_str()) {
+                Some(_) => tx.unchanged(&key, current.get(key.as_str()).copied()),
                 None => tx.absent(&key).put(&key, &row),
             };
         }
     }
     match node.platform.commit(&tx).await {
         Ok(Verdict::Applied) => {
-            node.count_platform("settle", "applied");
+            node.count_platform_call("settle", "applied");
             Attempt::Posted(account, pools)
         }
         Ok(Verdict::Conflict) => Attempt::Conflict,
@@ -186,15 +187,17 @@
 }
 
 fn decode<T: Default + serde::de::DeserializeOwned>(
-    read: &BTreeMap<&str, &Row>,
+    current: &BTreeMap<&str, &Row>,
     key: &str,
 ) -> Result<T, Error> {
-    match read.get(key) {
+    match current.get(key) {
         None => Ok(T::default()),
-        Some(row) => row.decode().map_err(|error| refused(format!("row {key} is not understood: {error}"))),
+        Some(row) => {
+            row.decode().map_err(|error| settle_error(format!("row {key} is not understood: {error}")))
+        }
     }
 }
 
-fn refused(reason: String) -> Error {
+fn settle_error(reason: String) -> Error {
     Error { step: "settle", peer: "table".to_owned(), fault: Fault::NotApplied, reason }
 }
