--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -1,9 +1,9 @@
-//! Proof of the fleet key at the start of each connection.
+//! Mutual authentication by the fleet key at the start of each connection.
 //!
-//! Each side sends a random challenge and answers the other's with an HMAC. Several keys may be trusted at
-//! once, so that a key is rotated without an outage: add the new one everywhere, then move it to the front,
-//! then remove the old one. The bytes after the handshake are not encrypted; the network between the VMs is
-//! the platform's private one.
+//! Each side sends a random challenge and answers the other's with an HMAC. Several keys may be accepted at
+//! once, so that keys can be rotated without an outage: add the new key on all routers, then move it to the
+//! front, then remove the old one. The data after the handshake is not encrypted, since the network between
+//! the VMs is the platform's private one.
 
 use hmac::{Hmac, Mac};
 use rand::RngCore;
@@ -12,11 +12,11 @@
 use std::fmt;
 use std::io;
 
-/// Bytes of a challenge.
-const CHALLENGE: usize = 16;
-/// Bytes of a proof.
-const PROOF: usize = 32;
-/// The fewest bytes of a key.
+/// The length of a challenge in bytes.
+const CHALLENGE_BYTES: usize = 16;
+/// The length of a proof in bytes.
+const PROOF_BYTES: usize = 32;
+/// The minimum length of a key in bytes.
 const MIN_KEY_BYTES: usize = 16;
 
 /// A secret shared by the routers of a fleet.
@@ -29,16 +29,16 @@
     }
 }
 
-/// A fleet key that is too short.
+/// The error for a fleet key that is too short.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("a fleet key has at least {MIN_KEY_BYTES} bytes, this one has {0}")]
 pub struct KeyError(usize);
 
 impl FleetKey {
-    /// Takes the key's text.
+    /// Creates a key from its text.
     ///
     /// # Errors
-    /// Fails if it is shorter than 16 bytes.
+    /// Returns an error if the text is shorter than 16 bytes.
     pub fn new(text: &str) -> Result<FleetKey, KeyError> {
         if text.len() < MIN_KEY_BYTES {
             return Err(KeyError(text.len()));
@@ -56,8 +56,8 @@
     }
 }
 
-fn challenge() -> [u8; CHALLENGE] {
-    let mut bytes = [0; CHALLENGE];
+fn challenge() -> [u8; CHALLENGE_BYTES] {
+    let mut bytes = [0; CHALLENGE_BYTES];
     rand::thread_rng().fill_bytes(&mut bytes);
     bytes
 }
@@ -66,15 +66,15 @@
     io::Error::new(io::ErrorKind::PermissionDenied, "the peer does not know a fleet key")
 }
 
-/// The accepting side's handshake.
+/// Performs the handshake of the accepting side.
 pub(crate) async fn accept(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     keys: &[FleetKey],
 ) -> io::Result<()> {
     let ours = challenge();
     stream.write_all(&ours).await?;
-    let mut theirs = [0; CHALLENGE];
-    let mut proof = [0; PROOF];
+    let mut theirs = [0; CHALLENGE_BYTES];
+    let mut proof = [0; PROOF_BYTES];
     stream.read_exact(&mut theirs).await?;
     stream.read_exact(&mut proof).await?;
     let known = |key: &&FleetKey| key.mac(b"connect", [&ours, &theirs]).verify_slice(&proof).is_ok();
@@ -82,17 +82,17 @@
     stream.write_all(&key.mac(b"accept", [&theirs, &ours]).finalize().into_bytes()).await
 }
 
-/// The connecting side's handshake.
+/// Performs the handshake of the connecting side.
 pub(crate) async fn connect(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     key: &FleetKey,
 ) -> io::Result<()> {
     let ours = challenge();
-    let mut theirs = [0; CHALLENGE];
+    let mut theirs = [0; CHALLENGE_BYTES];
     stream.read_exact(&mut theirs).await?;
     stream.write_all(&ours).await?;
     stream.write_all(&key.mac(b"connect", [&theirs, &ours]).finalize().into_bytes()).await?;
-    let mut proof = [0; PROOF];
+    let mut proof = [0; PROOF_BYTES];
     stream.read_exact(&mut proof).await?;
     key.mac(b"accept", [&ours, &theirs]).verify_slice(&proof).map_err(|_| refused())
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,9 @@
-//! What routers say to each other: heartbeats, loans of tokens, bundle sections, hints on requests.
+//! The protocol between routers: heartbeats, loans of tokens and slots, parts of bundles, and hints on
+//! requests and upstreams.
 //!
-//! [`FleetView`] decides who is alive and whom to send heartbeats to; [`Handler`] is what every router
-//! offers; [`Peers`] calls it at others and [`listen`] offers it. Both ends prove that they know a fleet
-//! key before the first message.
+//! [`FleetView`] tracks which routers are alive and selects those to send heartbeats to. Each router
+//! implements [`Handler`] and serves it with [`listen`]; [`Peers`] calls it at other routers. Both ends of a
+//! connection prove that they know a fleet key before the first message.
 //!
 //! ```
 //! let mut view = peer::FleetView::new("vm-1");
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,197 +1,198 @@
-//! The messages between routers, and the service that carries them.
+//! The messages between routers, and the RPC service.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tarpc::context::Context;
 
-/// A heartbeat; the answer to one is one.
+/// A heartbeat. It is answered with the receiver's own heartbeat.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// The sender's VM.
+    /// The name of the sender's VM.
     pub name: String,
-    /// Grows whenever the VM's process starts.
+    /// A number that grows with each start of the VM's process.
     pub incarnation: u64,
-    /// Where its peers reach it.
+    /// The sender's address for peers.
     pub address: SocketAddr,
-    /// Where its callers reach it.
+    /// The sender's address for callers.
     pub callers: SocketAddr,
-    /// Its data centre.
+    /// The sender's data centre.
     pub data_centre: String,
-    /// The bundle sequence in force there.
+    /// The sequence of the bundle in force at the sender; 0 if there is none.
     pub sequence: u64,
     /// The digest of that bundle's manifest.
     pub manifest: String,
-    /// Upstreams that it knows to be leaving.
+    /// The upstreams that the sender itself found to be leaving.
     pub leaving: Vec<String>,
-    /// Whether it is stopping.
+    /// Whether the sender is stopping.
     pub stopping: bool,
 }
 
-/// A request for a loan of tokens. Repeating it with the same `id` lends nothing more.
+/// A request to borrow tokens. Repeating it with the same `id` lends nothing more.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BorrowRequest {
     /// Names this request; unique in the fleet.
     pub id: String,
     /// The budget.
     pub budget: String,
-    /// Tokens that are missing.
+    /// The number of missing tokens.
     pub tokens: u64,
 }
 
-/// The answer to [`BorrowRequest`]: tokens that the lender no longer has.
+/// The answer to [`BorrowRequest`]. The tokens have been deducted from the lender's grant.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BorrowReply {
-    /// The tokens.
+    /// The number of tokens lent.
     pub tokens: u64,
 }
 
 /// A request for a slot of an upstream that the peer owns. Repeating it with the same `id` takes no second
-/// one.
+/// slot.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotRequest {
     /// Names this request; unique in the fleet.
     pub id: String,
-    /// The borrower, with its incarnation.
+    /// The borrower as `name#incarnation`.
     pub borrower: String,
-    /// The model.
+    /// The name of the model.
     pub model: String,
     /// The hash of the prompt's prefix.
     pub prefix: u64,
-    /// Upstreams that failed the request.
+    /// The upstreams that must not be used, since the request failed there.
     pub avoid: Vec<String>,
-    /// The team.
+    /// The name of the team.
     pub team: String,
     /// The team's weight.
     pub weight: u32,
-    /// Lower is more urgent.
+    /// The priority; a lower value is more urgent.
     pub priority: u8,
-    /// How long the request may wait, in milliseconds.
+    /// The time for which the request may wait, in milliseconds.
     pub wait_ms: u64,
-    /// The only upstream that is wanted; then the request does not wait.
+    /// The only acceptable upstream. If it is set, the request does not wait.
     pub at: Option<String>,
 }
 
-/// Where a request with an idempotency key is being run, or was.
+/// The router that runs or ran a request with an idempotency key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunLocation {
-    /// The budget and the key.
+    /// The budget and the idempotency key, as `budget|key`.
     pub key: String,
-    /// The router, with its incarnation.
+    /// The router as `name#incarnation`.
     pub holder: String,
-    /// Where callers reach that router.
+    /// The address of that router for callers.
     pub callers: SocketAddr,
 }
 
-/// Which bundle a router has in force, for operators.
+/// The bundle that a router has in force, for operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BundleStatus {
-    /// The VM.
+    /// The name of the VM.
     pub name: String,
-    /// The sequence in force; 0 if there is none.
+    /// The sequence of the bundle in force; 0 if there is none.
     pub sequence: u64,
-    /// For how long, in milliseconds.
+    /// The time since it came into force, in milliseconds.
     pub in_force_ms: u64,
 }
 
-/// What every router offers to the others.
+/// The RPC service that each router offers to its peers.
 #[tarpc::service]
 pub trait Link {
     /// Exchanges heartbeats.
     async fn beat(beat: Heartbeat) -> Heartbeat;
     /// Lends tokens.
     async fn borrow(ask: BorrowRequest) -> BorrowReply;
-    /// Hands out parts of the bundle in force by digest.
+    /// Returns parts of the bundle in force by digest.
     async fn fetch(digests: Vec<String>) -> Vec<Option<String>>;
-    /// Notes where a request runs; a hint that may be lost.
+    /// Announces where a request runs. The hint may be lost.
     async fn announce(whereabouts: RunLocation);
-    /// Finds where a request runs, if this router was told.
+    /// Returns where a request runs, if the receiver knows.
     async fn locate(key: String) -> Option<RunLocation>;
-    /// Tells which bundle is in force.
+    /// Returns the bundle in force.
     async fn standing() -> BundleStatus;
-    /// Lends a slot, as soon as one is free; names its upstream.
+    /// Lends a slot as soon as one is free. Returns its upstream, or `None` if the receiver declines.
     async fn slot(ask: SlotRequest) -> Option<String>;
-    /// Takes a slot back, or a request for one that still waits.
+    /// Returns a lent slot, or withdraws a waiting request for one. `failed` says whether the run failed.
     async fn free(id: String, failed: bool);
-    /// Hints that an upstream which the receiver owns is leaving.
+    /// Hints that an upstream of which the receiver owns slots is leaving.
     async fn hint_leaving(upstream: String, from: String);
-    /// Asks the receiver to keep a router's account: to close it once that router is gone.
+    /// Makes the receiver the keeper of a router's account, which closes it once that router is gone.
     async fn keep(holder: String);
-    /// Asks the keeper of an account never to close it; `false` if it may have done so.
+    /// Asks the keeper of an account to promise never to close it. Returns `false` if it may be closed
+    /// already.
     async fn spare(holder: String) -> bool;
 }
 
-/// What a router does with the calls of others; all but a request for a slot is answered at once.
+/// The implementation of [`Link`] by a router. All calls except `slot` are answered without waiting.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Takes in a heartbeat and answers with the router's own.
-    fn beat(&self, beat: Heartbeat) -> Heartbeat;
+    /// Records a heartbeat, and returns the router's own.
+    fn exchange_heartbeat(&self, beat: Heartbeat) -> Heartbeat;
     /// Lends tokens.
-    fn borrow(&self, ask: BorrowRequest) -> BorrowReply;
-    /// Hands out parts of the bundle in force by digest.
-    fn fetch(&self, digests: &[String]) -> Vec<Option<String>>;
-    /// Notes where a request runs.
-    fn announce(&self, whereabouts: RunLocation);
-    /// Finds where a request runs.
-    fn locate(&self, key: &str) -> Option<RunLocation>;
-    /// Tells which bundle is in force.
-    fn standing(&self) -> BundleStatus;
-    /// Lends a slot, as soon as one is free; names its upstream.
-    fn slot(&self, ask: SlotRequest) -> impl Future<Output = Option<String>> + Send;
-    /// Takes a slot back, or a request for one that still waits.
-    fn free(&self, id: &str, failed: bool);
-    /// Takes in a hint that an upstream is leaving.
-    fn hint_leaving(&self, upstream: &str, from: &str);
-    /// Takes a router's account into keeping.
-    fn keep(&self, holder: &str);
-    /// Promises never to close an account; `false` if it may be closed already.
-    fn spare(&self, holder: &str) -> bool;
+    fn lend_tokens(&self, ask: BorrowRequest) -> BorrowReply;
+    /// Returns parts of the bundle in force by digest.
+    fn bundle_parts(&self, digests: &[String]) -> Vec<Option<String>>;
+    /// Records where a request runs.
+    fn record_run(&self, whereabouts: RunLocation);
+    /// Returns where a request runs, if it is known.
+    fn find_run(&self, key: &str) -> Option<RunLocation>;
+    /// Returns the bundle in force.
+    fn bundle_status(&self) -> BundleStatus;
+    /// Lends a slot as soon as one is free. Returns its upstream.
+    fn lend_slot(&self, ask: SlotRequest) -> impl Future<Output = Option<String>> + Send;
+    /// Takes back a lent slot, or withdraws a waiting request for one.
+    fn release_slot(&self, id: &str, failed: bool);
+    /// Records a hint that an upstream is leaving.
+    fn record_leaving_hint(&self, upstream: &str, from: &str);
+    /// Makes this router the keeper of a router's account.
+    fn become_keeper(&self, holder: &str);
+    /// Promises never to close an account. Returns `false` if it may be closed already.
+    fn promise_not_to_close(&self, holder: &str) -> bool;
 }
 
-/// Offers a [`Handler`] as a [`Link`].
+/// Adapts a [`Handler`] to the [`Link`] service.
 #[derive(Clone, Debug)]
 pub(crate) struct Server<H>(pub(crate) H);
 
 impl<H: Handler> Link for Server<H> {
     async fn beat(self, _: Context, beat: Heartbeat) -> Heartbeat {
-        self.0.beat(beat)
+        self.0.exchange_heartbeat(beat)
     }
 
     async fn borrow(self, _: Context, ask: BorrowRequest) -> BorrowReply {
-        self.0.borrow(ask)
+        self.0.lend_tokens(ask)
     }
 
     async fn fetch(self, _: Context, digests: Vec<String>) -> Vec<Option<String>> {
-        self.0.fetch(&digests)
+        self.0.bundle_parts(&digests)
     }
 
     async fn announce(self, _: Context, whereabouts: RunLocation) {
-        self.0.announce(whereabouts);
+        self.0.record_run(whereabouts);
     }
 
     async fn locate(self, _: Context, key: String) -> Option<RunLocation> {
-        self.0.locate(&key)
+        self.0.find_run(&key)
     }
 
     async fn standing(self, _: Context) -> BundleStatus {
-        self.0.standing()
+        self.0.bundle_status()
     }
 
     async fn slot(self, _: Context, ask: SlotRequest) -> Option<String> {
-        self.0.slot(ask).await
+        self.0.lend_slot(ask).await
     }
 
     async fn free(self, _: Context, id: String, failed: bool) {
-        self.0.free(&id, failed);
+        self.0.release_slot(&id, failed);
     }
 
     async fn hint_leaving(self, _: Context, upstream: String, from: String) {
-        self.0.hint_leaving(&upstream, &from);
+        self.0.record_leaving_hint(&upstream, &from);
     }
 
     async fn keep(self, _: Context, holder: String) {
-        self.0.keep(&holder);
+        self.0.become_keeper(&holder);
     }
 
     async fn spare(self, _: Context, holder: String) -> bool {
-        self.0.spare(&holder)
+        self.0.promise_not_to_close(&holder)
     }
 }
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections between routers: tarpc over TCP, opened with the fleet-key handshake.
+//! Connections between routers: tarpc over TCP, with a handshake that proves knowledge of the fleet key.
 
 use crate::auth::{self, FleetKey};
 use crate::link::{Handler, Link, LinkClient, Server};
@@ -18,22 +18,22 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Time for a connection and its handshake.
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(2);
-/// How long a peer is left alone after a call to it failed.
-const REST: Duration = Duration::from_millis(200);
-/// The largest message in bytes.
-const MESSAGE_LIMIT: usize = 16 << 20;
+/// The time-out of the handshake on accepted connections.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time for which no new connection to a peer is opened after a call to it failed.
+const BACKOFF: Duration = Duration::from_millis(200);
+/// The maximum size of a message in bytes.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// A call to a peer that failed; it may have been carried out.
+/// A failed call to a peer. The peer may have executed it.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{step} at peer {peer}: {reason}")]
 pub struct Error {
-    /// The call.
+    /// The name of the call.
     pub step: &'static str,
     /// The peer's address.
     pub peer: SocketAddr,
-    /// The cause in words.
+    /// A description of the cause.
     pub reason: String,
 }
 
@@ -44,15 +44,16 @@
     Item: for<'de> serde::Deserialize<'de>,
     SinkItem: serde::Serialize,
 {
-    let codec = LengthDelimitedCodec::builder().max_frame_length(MESSAGE_LIMIT).new_codec();
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec();
     let frames = tokio_util::codec::Framed::new(stream.compat(), codec);
     tarpc::serde_transport::new(frames, Bincode::default())
 }
 
-/// Offers `handler` on `address`; peers that know none of `keys` are refused and logged.
+/// Serves `handler` on `address`, and returns the bound address. Peers that know none of `keys` are refused
+/// and logged.
 ///
 /// # Errors
-/// Fails if the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn listen<H>(address: SocketAddr, keys: Vec<FleetKey>, handler: H) -> io::Result<SocketAddr>
 where
     H: Handler,
@@ -64,7 +65,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, from)) => {
-                    exec::spawn(converse(stream, from, keys.clone(), handler.clone())).detach();
+                    exec::spawn(serve_connection(stream, from, keys.clone(), handler.clone())).detach();
                 }
                 Err(error) => {
                     log::warn!("peer: accept failed: {error}");
@@ -77,15 +78,15 @@
     Ok(bound)
 }
 
-async fn converse<H>(mut stream: TcpStream, from: SocketAddr, keys: Arc<[FleetKey]>, handler: H)
+async fn serve_connection<H>(mut stream: TcpStream, from: SocketAddr, keys: Arc<[FleetKey]>, handler: H)
 where
     H: Handler,
 {
     let _ = stream.set_nodelay(true);
-    match exec::timeout(HANDSHAKE_LIMIT, auth::accept(&mut stream, &keys)).await {
+    match exec::timeout(HANDSHAKE_TIMEOUT, auth::accept(&mut stream, &keys)).await {
         Some(Ok(())) => {}
         Some(Err(error)) => return log::warn!("peer: refused a connection from {from}: {error}"),
-        None => return log::warn!("peer: refused a connection from {from}: no handshake in time"),
+        None => return log::warn!("peer: refused a connection from {from}: the handshake timed out"),
     }
     let serving = async move {
         let channel = BaseChannel::with_defaults(framed(stream));
@@ -99,33 +100,34 @@
     Compat::new(serving).await;
 }
 
-/// Connections to other routers, opened when they are needed.
+/// Connections to other routers, opened on demand.
 #[derive(Clone, Debug)]
 pub struct Peers {
     key: FleetKey,
     limit: Duration,
-    clients: Arc<Mutex<HashMap<SocketAddr, Connection>>>,
+    connections: Arc<Mutex<HashMap<SocketAddr, Connection>>>,
 }
 
-/// What is known of the connection to one peer.
+/// The state of the connection to a peer.
 #[derive(Clone, Debug)]
 enum Connection {
-    /// It is open.
+    /// The connection is open.
     Open(LinkClient),
-    /// It could not be opened; until then nobody tries again, so that a silent peer costs one caller a wait.
+    /// A call failed. No connection is opened before this time, so that an unresponsive peer delays only one
+    /// caller.
     Failed(Instant),
 }
 
 impl Peers {
-    /// Calls others with `key`; each call ends after `limit`.
+    /// Creates a client that authenticates with `key`; `limit` is the default time-out of a call.
     pub fn new(key: FleetKey, limit: Duration) -> Peers {
-        Peers { key, limit, clients: Arc::default() }
+        Peers { key, limit, connections: Arc::default() }
     }
 
-    /// Makes one call.
+    /// Calls a peer.
     ///
     /// # Errors
-    /// The call may have been carried out all the same.
+    /// Returns an error if the call failed. The peer may have executed it nevertheless.
     pub async fn call<T, F>(
         &self,
         step: &'static str,
@@ -138,7 +140,7 @@
         self.call_within(self.limit, step, peer, call).await
     }
 
-    /// Makes one call that may take up to `limit`.
+    /// Calls a peer with the time-out `limit`. The time-out for opening a connection remains the default.
     ///
     /// # Errors
     /// As [`Peers::call`].
@@ -156,12 +158,12 @@
         let client = match exec::timeout(self.limit, self.client(peer)).await {
             Some(Ok(client)) => client,
             Some(Err(error)) => {
-                self.rest(peer);
+                self.back_off(peer);
                 return Err(failed(error.to_string()));
             }
             None => {
-                self.rest(peer);
-                return Err(failed("no connection in time".to_owned()));
+                self.back_off(peer);
+                return Err(failed("connecting timed out".to_owned()));
             }
         };
         let mut context = Context::current();
@@ -170,21 +172,24 @@
         match answer {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(error)) => {
-                self.rest(peer);
+                self.back_off(peer);
                 Err(failed(error.to_string()))
             }
             None => {
-                self.rest(peer);
+                self.back_off(peer);
                 Err(failed(format!("no answer within {} ms", limit.as_millis())))
             }
         }
     }
 
     async fn client(&self, peer: SocketAddr) -> io::Result<LinkClient> {
-        match self.clients.lock().expect("no thread panics while it holds the lock").get(&peer) {
+        match self.connections.lock().expect("no thread panics while it holds the lock").get(&peer) {
             Some(Connection::Open(client)) => return Ok(client.clone()),
             Some(Connection::Failed(until)) if Instant::now() < *until => {
-                return Err(io::Error::new(io::ErrorKind::HostUnreachable, "it did not answer a moment ago"));
+                return Err(io::Error::new(
+                    io::ErrorKind::HostUnreachable,
+                    "a recent call to the peer failed",
+                ));
             }
             _ => {}
         }
@@ -197,21 +202,21 @@
             let _ = dispatch.await;
         }))
         .detach();
-        self.clients
+        self.connections
             .lock()
             .expect("no thread panics while it holds the lock")
             .insert(peer, Connection::Open(client.clone()));
         Ok(client)
     }
 
-    /// Drops the connection to a peer that failed, and lets the peer rest.
-    fn rest(&self, peer: SocketAddr) {
-        let mut clients = self.clients.lock().expect("no thread panics while it holds the lock");
-        if let Some(Connection::Failed(until)) = clients.get(&peer)
+    /// Drops the connection to a peer that failed, and opens no new one for a while.
+    fn back_off(&self, peer: SocketAddr) {
+        let mut connections = self.connections.lock().expect("no thread panics while it holds the lock");
+        if let Some(Connection::Failed(until)) = connections.get(&peer)
             && Instant::now() < *until
         {
             return;
         }
-        clients.insert(peer, Connection::Failed(Instant::now() + REST));
+        connections.insert(peer, Connection::Failed(Instant::now() + BACKOFF));
     }
 }
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -1,43 +1,43 @@
-//! Who is in the fleet: the platform's lagging list, corrected by heartbeats.
+//! A router's view of the fleet: the platform's list, which lags behind, corrected by heartbeats.
 //!
-//! Each router sends heartbeats to a bounded number of others, its successors on a ring of hashed names, so
-//! the traffic of a node does not grow with the fleet.
+//! Each router sends heartbeats to a bounded number of others, its successors on a ring of hashed names. So
+//! the traffic per router does not grow with the fleet.
 
 use crate::link::Heartbeat;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Milliseconds without a heartbeat after which a router that sent some is suspected.
-const SUSPECT_AFTER: u64 = 2_000;
-/// Milliseconds without a heartbeat after which it counts as gone.
-const GONE_AFTER: u64 = 10_000;
+/// The time in milliseconds after the first unanswered heartbeat at which a router becomes suspect.
+const SUSPECT_AFTER_MS: u64 = 2_000;
+/// The time in milliseconds after the first unanswered heartbeat at which a router counts as gone.
+const GONE_AFTER_MS: u64 = 10_000;
 
-/// What is thought of a router.
+/// The state of a router, as seen by another one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberState {
-    /// It sends heartbeats, or is listed and was not asked yet.
+    /// The router has not failed to answer heartbeats recently, or none was sent to it.
     Alive,
-    /// It has been silent; it may be cut off.
+    /// The router has not answered for a while; the network may be partitioned.
     Suspect,
-    /// It has been silent for long, or is stopping.
+    /// The router has not answered for long, or is stopping.
     Gone,
 }
 
-/// One router.
+/// A router in the fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// The VM.
+    /// The name of the VM.
     pub name: String,
-    /// Where its peers reach it.
+    /// The address for peers.
     pub address: SocketAddr,
-    /// Where its callers reach it, once it said so.
+    /// The address for callers; `None` before the first heartbeat.
     pub callers: Option<SocketAddr>,
-    /// Its incarnation, once it said so.
+    /// The incarnation; 0 before the first heartbeat.
     pub incarnation: u64,
-    /// The bundle sequence in force there, as last heard.
+    /// The sequence of the bundle in force there, as of the last heartbeat.
     pub sequence: u64,
-    /// Whether it said that it is stopping.
+    /// Whether the last heartbeat said that the router is stopping.
     pub stopping: bool,
     listed: bool,
     last_heartbeat: Option<u64>,
@@ -45,7 +45,7 @@
 }
 
 impl Member {
-    /// A router that is known by name only.
+    /// Creates a member that is known from the platform's list only.
     pub fn new(name: &str, address: SocketAddr) -> Member {
         Member {
             name: name.to_owned(),
@@ -60,14 +60,14 @@
         }
     }
 
-    /// What is thought of it at time `now` in milliseconds.
+    /// The state at time `now` in milliseconds.
     pub fn state(&self, now: u64) -> MemberState {
         if self.stopping {
             return MemberState::Gone;
         }
         match self.silent_since.map(|since| now.saturating_sub(since)) {
-            Some(GONE_AFTER..) => MemberState::Gone,
-            Some(SUSPECT_AFTER..) => MemberState::Suspect,
+            Some(GONE_AFTER_MS..) => MemberState::Gone,
+            Some(SUSPECT_AFTER_MS..) => MemberState::Suspect,
             _ => MemberState::Alive,
         }
     }
@@ -81,12 +81,13 @@
 }
 
 impl FleetView {
-    /// The view of router `me`, which knows nobody yet.
+    /// Creates the view of router `own_name`, without other members.
     pub fn new(own_name: &str) -> FleetView {
         FleetView { own_name: own_name.to_owned(), members: BTreeMap::new() }
     }
 
-    /// Takes in the platform's list of other routers.
+    /// Updates the members from the platform's list of routers. Members that are not listed are removed once
+    /// they are gone.
     pub fn update_listed(&mut self, listed: &[Member], now: u64) {
         for member in self.members.values_mut() {
             member.listed = listed.iter().any(|one| one.name == member.name);
@@ -100,7 +101,7 @@
         self.members.retain(|_, member| member.listed || member.state(now) != MemberState::Gone);
     }
 
-    /// Takes in a heartbeat; `true` if the router is new or restarted.
+    /// Records a heartbeat. Returns whether the router is new or has restarted.
     pub fn record_heartbeat(&mut self, beat: &Heartbeat, now: u64) -> bool {
         if beat.name == self.own_name {
             return false;
@@ -112,7 +113,7 @@
         if beat.incarnation < member.incarnation {
             return false;
         }
-        let news = beat.incarnation > member.incarnation;
+        let is_new = beat.incarnation > member.incarnation;
         member.address = beat.address;
         member.callers = Some(beat.callers);
         member.incarnation = beat.incarnation;
@@ -120,40 +121,40 @@
         member.stopping = beat.stopping;
         member.last_heartbeat = Some(now);
         member.silent_since = None;
-        news
+        is_new
     }
 
-    /// Notes that a heartbeat to `name` got no answer.
+    /// Records that a heartbeat to `name` was not answered.
     pub fn record_no_answer(&mut self, name: &str, now: u64) {
         if let Some(member) = self.members.get_mut(name) {
             member.silent_since.get_or_insert(now);
         }
     }
 
-    /// The routers to send a heartbeat to: at most `count` successors on the ring.
+    /// The routers to send heartbeats to: at most `count` successors on the ring.
     pub fn heartbeat_targets(&self, count: usize) -> Vec<&str> {
-        let mine = xxh3_64(self.own_name.as_bytes());
+        let own_hash = xxh3_64(self.own_name.as_bytes());
         let mut ring: Vec<(u64, &str)> = self
             .members
             .keys()
-            .map(|name| (xxh3_64(name.as_bytes()).wrapping_sub(mine), name.as_str()))
+            .map(|name| (xxh3_64(name.as_bytes()).wrapping_sub(own_hash), name.as_str()))
             .collect();
         ring.sort_unstable();
         ring.into_iter().take(count).map(|(_, name)| name).collect()
     }
 
-    /// The routers of a state.
+    /// The members in the given state.
     pub fn members(&self, state: MemberState, now: u64) -> impl Iterator<Item = &Member> {
         self.members.values().filter(move |member| member.state(now) == state)
     }
 
-    /// One router.
+    /// Returns the member with the given name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// The names by which upstreams are shared out: this router and all that are listed or heard, suspects
-    /// included, so that a partition makes nobody's share grow.
+    /// The names of the routers among which upstreams are divided: this router and all members. Suspects are
+    /// included, so that no router's share grows during a network partition.
     pub fn router_names(&self) -> Vec<&str> {
         let mut names: Vec<&str> = self.members.keys().map(String::as_str).collect();
         names.push(&self.own_name);
@@ -161,7 +162,7 @@
         names
     }
 
-    /// The router that keeps the hint for `key`, if it is another one.
+    /// The router that stores the hint for `key`; `None` if it is this one.
     pub fn hint_router(&self, key: &str, now: u64) -> Option<&Member> {
         let score = |name: &str| xxh3_64(format!("{name}|{key}").as_bytes());
         let best = self.members(MemberState::Alive, now).max_by_key(|member| score(&member.name))?;
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: is it alive, is it ready, what does it do, what happened to a request.
+//! The operators' listener: liveness, readiness, metrics, status, and the records of recent requests.
 
 use crate::clock::Clock;
 use crate::node::{Node, Phase};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Answers one request of an operator.
+/// Answers a request of an operator.
 pub(crate) async fn answer<W: Ports>(node: Arc<Node<W>>, request: Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
         return reply(StatusCode::METHOD_NOT_ALLOWED, &json!({"error": "only GET is known here"}));
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at a request: a run at one engine, from its start to its charge.
 //!
-//! Whatever happens to the run, its reservation ends here: charged, given back, wasted, or held until the
-//! engine tells what became of it (I6).
+//! Whatever happens to the run, its reservation is handled here (I6): it is charged, released, written off,
+//! kept for the next attempt, or held until the engine reports the outcome.
 
 use crate::clock::Clock;
 use crate::job::{FAILED_RETRY_MS, Job};
@@ -18,41 +18,41 @@
 use std::net::SocketAddr;
 use upstream::{Call, Engine, Event, Events, Fault, Outcome, Reply, Usage};
 
-/// How often a stream is taken up again at the same engine.
+/// The maximum number of times that a broken stream is resumed at the same engine.
 const MAX_RESUMES: u32 = 3;
-/// The pause before asking again what became of a lost run, at first and at most, in milliseconds.
+/// The first and the longest pause between queries for an unknown outcome, in milliseconds.
 const OUTCOME_RETRY_MS: (u64, u64) = (250, 10_000);
 
-/// What to do after an attempt.
+/// The outcome of an attempt.
 pub(crate) enum AttemptOutcome {
-    /// The answer is complete and charged.
+    /// The answer is complete and its tokens are charged.
     Complete,
-    /// The caller gets this refusal.
+    /// The request is refused.
     Refuse(Refusal),
-    /// The run certainly did not start, or was stopped: try elsewhere with the same reservation.
+    /// The run certainly did not start. The request is retried on another upstream with the same reservation.
     RetryReserved(String),
-    /// The run consumed tokens, or may go on: trying elsewhere takes another reservation.
+    /// The run consumed tokens or may still be running. A retry on another upstream needs a new reservation.
     RetryUnreserved(String, Execution),
 }
 
 /// The attempts of one request so far.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
-    /// When the request came, in milliseconds of the router's clock.
+    /// When the request arrived, in milliseconds of the router's clock.
     pub arrived: u64,
-    /// How many attempts were made.
+    /// The number of attempts.
     pub attempts: u32,
-    /// Upstreams that failed.
+    /// Upstreams that must not be tried again.
     pub excluded: Vec<String>,
-    /// What earlier attempts did.
+    /// The execution that earlier attempts caused.
     pub execution: Execution,
 }
 
-/// A run that was sent to an engine.
+/// A run at an engine, with its slot.
 struct StartedRun {
     run: String,
     slot: Slot,
-    peer: SocketAddr,
+    address: SocketAddr,
 }
 
 impl<W: Ports> Job<W> {
@@ -66,7 +66,7 @@
         };
         let started_run = StartedRun {
             run: format!("{}-{}", self.admitted.id, progress.attempts),
-            peer: upstream.address,
+            address: upstream.address,
             slot,
         };
         let call = Call {
@@ -75,7 +75,7 @@
             body: self.ask.body.clone(),
             priority: model.priority,
         };
-        let starting = async { Some(node.engine.start(started_run.peer, &call).await) };
+        let starting = async { Some(node.engine.start(started_run.address, &call).await) };
         let caller_gone = async {
             self.answer.abandoned().await;
             None
@@ -107,11 +107,11 @@
         started_run.slot.mark_failed();
         if self.node.schedule.record_failure(&started_run.slot.upstream) {
             self.node.metrics.ejections.inc();
-            log::warn!("upstream: {} is ejected after failures in a row", started_run.slot.upstream);
+            log::warn!("upstream: {} is ejected after consecutive failures", started_run.slot.upstream);
         }
     }
 
-    /// The engine refused the run before it did any work.
+    /// Handles an engine's refusal to start the run.
     fn handle_refusal(&self, started_run: &StartedRun, status: u16, body: &Bytes) -> AttemptOutcome {
         let text = String::from_utf8_lossy(body).into_owned();
         if matches!(status, 404 | 408 | 409 | 429 | 503) {
@@ -129,7 +129,7 @@
 
     fn complete_answer(&self, started_run: &StartedRun, bytes: Bytes) -> AttemptOutcome {
         let usage = std::str::from_utf8(&bytes).ok().and_then(Usage::find);
-        // An answer that reports no usage is charged at its worst case.
+        // An answer that reports no usage is charged at the maximum that was reserved.
         let tokens = usage.map_or(self.ask.max_tokens, |usage| usage.total());
         self.charge(tokens);
         self.node.schedule.record_success(&started_run.slot.upstream, None);
@@ -144,7 +144,7 @@
         AttemptOutcome::Complete
     }
 
-    /// Turns the reservation into the request's one charge.
+    /// Converts the reservation to the request's only charge.
     fn charge(&self, tokens: u64) {
         let node = &self.node;
         let excess =
@@ -170,7 +170,7 @@
         Charge { request: self.admitted.id.clone(), key: self.admitted.key.clone(), tokens }
     }
 
-    /// Passes a stream on, taking it up again where it breaks.
+    /// Relays a stream to the caller, and resumes it where it breaks.
     async fn relay_stream(
         &self,
         model: &Model,
@@ -222,7 +222,9 @@
                 Some(Err(error)) => {
                     self.record_run_failure(&started_run, &error.to_string());
                     let reopened = if received > 0 && resumes < MAX_RESUMES {
-                        Box::pin(node.engine.resume(started_run.peer, &started_run.run, received)).await.ok()
+                        Box::pin(node.engine.resume(started_run.address, &started_run.run, received))
+                            .await
+                            .ok()
                     } else {
                         None
                     };
@@ -234,10 +236,7 @@
                                 &self.admitted.id,
                                 format!("taken up again after {received} events"),
                             );
-                            log::info!(
-                                "upstream: run={} taken up again after {received} events",
-                                started_run.run
-                            );
+                            log::info!("upstream: run={} resumed after {received} events", started_run.run);
                             events = resumed;
                         }
                         None if received == 0 => {
@@ -260,10 +259,10 @@
         });
     }
 
-    /// Ends an answer that can't be completed: an explicit error event, then an aborted body.
+    /// Ends an answer that can't be completed with an error event and an aborted body.
     async fn abort_answer(&self, started_run: StartedRun, reason: &str) -> AttemptOutcome {
         let node = &self.node;
-        match node.engine.cancel(started_run.peer, &started_run.run).await {
+        match node.engine.cancel(started_run.address, &started_run.run).await {
             Ok(Outcome::Stopped(usage)) => {
                 self.charge(usage.total());
                 slot::release(node, started_run.slot);
@@ -278,11 +277,11 @@
         AttemptOutcome::Refuse(refusal)
     }
 
-    /// Stops a run whose caller went away; what it consumed is charged.
+    /// Cancels a run whose caller disconnected. The tokens that it consumed are charged.
     async fn cancel_abandoned(&self, started_run: StartedRun) -> AttemptOutcome {
         let node = &self.node;
         node.record_step(&self.admitted.id, "the caller went away");
-        let execution = match node.engine.cancel(started_run.peer, &started_run.run).await {
+        let execution = match node.engine.cancel(started_run.address, &started_run.run).await {
             Ok(Outcome::Stopped(usage)) => {
                 self.charge(usage.total());
                 slot::release(node, started_run.slot);
@@ -302,7 +301,8 @@
         AttemptOutcome::Refuse(refusal.execution(execution))
     }
 
-    /// Decides after a failure that leaves open whether the run goes on, before any of it was passed on.
+    /// Cancels a run after a failure that leaves open whether it is still running. Nothing of its answer has
+    /// been relayed yet.
     async fn cancel_uncertain(
         &self,
         model: &Model,
@@ -317,13 +317,13 @@
                 .execution(execution)
                 .retry_after(FAILED_RETRY_MS)
         };
-        match node.engine.cancel(started_run.peer, &started_run.run).await {
+        match node.engine.cancel(started_run.address, &started_run.run).await {
             Ok(Outcome::Unseen) => {
                 slot::release(node, started_run.slot);
                 AttemptOutcome::RetryReserved(reason)
             }
             Ok(Outcome::Stopped(usage)) if model.repeatable => {
-                // A new reservation is taken for the next run; what this one consumed stays held.
+                // The next run takes a new reservation; the tokens that this one consumed stay deducted.
                 slot::release(node, started_run.slot);
                 node.grants.write_off(budget, self.ask.max_tokens, usage.total());
                 node.metrics.wasted.inc_by(usage.total());
@@ -345,18 +345,18 @@
         }
     }
 
-    /// Keeps the reservation and the slot of a run whose end is not known, and asks the engine until it says
-    /// what became of it. What it consumed is then charged by `bill`, or stays held if another run has
-    /// served the request.
+    /// Keeps the reservation and the slot of a run whose outcome is unknown, and queries the engine until it
+    /// reports the outcome. The consumed tokens are then charged by `charge`, or written off if it is `None`
+    /// because another run serves the request.
     fn hold_until_known(&self, started_run: StartedRun, charge: Option<Charge>) {
         let node = self.node.clone();
         let budget = self.admitted.access.budget.clone();
         let reserved = self.ask.max_tokens;
-        let StartedRun { run, slot, peer } = started_run;
+        let StartedRun { run, slot, address } = started_run;
         node.grants.hold_unknown(&budget, reserved);
         node.metrics.unknown.add(reserved as i64);
         log::warn!(
-            "budget: run={run} {reserved} tokens stay held until {} tells what became of it",
+            "budget: run={run} {reserved} tokens stay reserved until {} reports the outcome of the run",
             slot.upstream
         );
         exec::spawn(async move {
@@ -364,7 +364,7 @@
             while !node.is_stopped() {
                 exec::sleep(millis(pause)).await;
                 pause = (pause * 2).min(OUTCOME_RETRY_MS.1);
-                let Ok(outcome) = node.engine.cancel(peer, &run).await else {
+                let Ok(outcome) = node.engine.cancel(address, &run).await else {
                     continue;
                 };
                 let tokens = match outcome {
@@ -377,7 +377,7 @@
                 }
                 node.grants.resolve_unknown(&budget, reserved, tokens, charge);
                 node.metrics.unknown.sub(reserved as i64);
-                log::info!("budget: run={run} consumed {tokens} tokens, says {}", slot.upstream);
+                log::info!("budget: run={run} consumed {tokens} tokens, as reported by {}", slot.upstream);
                 slot::release(&node, slot);
                 return;
             }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,7 +1,7 @@
 //! Claims at the platform for requests that must not be repeated (I3).
 //!
-//! Inserts that come close together share one transaction. A lost answer is resolved by reading the row
-//! back; it names the request, so a router recognises its own claim.
+//! A claim is a row that is inserted before the request is dispatched. If the answer to the insertion is
+//! lost, the row is read back; it holds the request's id, by which a router recognises its own claim.
 
 use crate::clock::Clock;
 use crate::forward;
@@ -20,25 +20,25 @@
 use std::sync::Arc;
 use store::{Row, Table, Tx, Verdict};
 
-/// How long a claim is tried before the request is refused, in milliseconds.
+/// The time after which a request is refused if its claim can't be inserted, in milliseconds.
 const CLAIM_TIMEOUT_MS: u64 = 2_000;
 /// The pause between attempts, in milliseconds.
 const RETRY_PAUSE_MS: u64 = 25;
-/// Attempts to record the answer of a finished request.
+/// The number of attempts to record the answer to a completed request.
 const RECORD_ATTEMPTS: u32 = 40;
 
-/// What became of a claim.
+/// The result of claiming a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum ClaimResult {
-    /// The request is this router's to dispatch.
+    /// The claim was granted; this router must dispatch the request.
     Granted,
-    /// It ended before; this was the answer.
+    /// An earlier run has completed with this answer.
     Answered(Answer),
-    /// It is or was run under this claim.
+    /// The request is or was run under this claim.
     HeldBy(Claim),
 }
 
-/// Claims a request, or finds who did.
+/// Claims a request, or finds the existing claim.
 async fn claim<W: Ports>(
     node: &Node<W>,
     budget: &str,
@@ -49,7 +49,7 @@
     let claim = Claim { holder: node.holder.clone(), request: request.to_owned(), state: State::Claimed };
     let deadline = node.clock.now() + CLAIM_TIMEOUT_MS;
     let mut reason = String::new();
-    // Until the claim is known to be absent, an earlier attempt under this key may have run elsewhere (I4).
+    // Until the claim is known to be absent, an earlier attempt with this key may have run elsewhere (I4).
     let mut execution = Execution::Unknown;
     while node.clock.now() < deadline {
         match read(node, &row_key).await {
@@ -89,7 +89,7 @@
     Ok(rows.into_iter().next().flatten())
 }
 
-/// Records the answer of a claimed request, so that it is given again and never run again.
+/// Records the answer to a claimed request, so that it can be replayed and the request is never run again.
 async fn record_answer<W: Ports>(node: &Node<W>, budget: &str, key: &str, request: &str, answer: Answer) {
     let row_key = identity_key("claim", budget, key);
     let claim =
@@ -107,20 +107,22 @@
         }
         exec::sleep(millis(RETRY_PAUSE_MS << attempt.min(6))).await;
     }
-    log::warn!("claim: request={request} the answer could not be recorded; a retry elsewhere learns unknown");
+    log::warn!(
+        "claim: request={request} the answer could not be recorded; a retry at another router gets outcome unknown"
+    );
 }
 
-/// What to do with a request that may run only once.
+/// How to answer a request that may run only once.
 pub(crate) enum ClaimOutcome {
-    /// Run it under this claim.
+    /// Run the request under the claim of this request id.
     Run(String),
-    /// Give its recorded answer.
+    /// Replay the recorded answer.
     Replay(Answer),
-    /// Give the answer of the router that runs it.
+    /// Relay the answer of the router that runs the request.
     Relayed(Response<Body>),
 }
 
-/// Claims a keyed request that may run only once, or finds its one answer.
+/// Claims a request with an idempotency key that may run only once, or finds its answer.
 pub(crate) async fn claim_or_find<W: Ports>(
     node: &Arc<Node<W>>,
     admitted: &AdmittedRequest,
@@ -131,7 +133,8 @@
     match claim(node, &admitted.access.budget, key, &admitted.id).await? {
         ClaimResult::Granted => Ok(ClaimOutcome::Run(admitted.id.clone())),
         ClaimResult::Answered(answer) => Ok(ClaimOutcome::Replay(answer)),
-        // This router took the claim for an earlier request that it certainly never dispatched.
+        // This router holds the claim from an earlier request. The request can run under it if the earlier
+        // one certainly was never dispatched.
         ClaimResult::HeldBy(claim) if claim.holder == node.holder => {
             match node
                 .undispatched_claims
@@ -153,7 +156,7 @@
     }
 }
 
-/// Notes how a claimed request ended.
+/// Records the outcome of a claimed request.
 pub(crate) async fn record_outcome<W: Ports>(
     node: &Node<W>,
     admitted: &AdmittedRequest,
@@ -176,7 +179,7 @@
     }
 }
 
-/// The refusal of a request whose only run is out of reach.
+/// The refusal of a request whose only run is at a router that can't be reached.
 fn unknown_outcome(holder: &str) -> Refusal {
     let message = format!(
         "this request may run only once; {holder} took it and can't be reached, so whether it ran is not known"
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clock port: milliseconds that only grow, and that no decision on money depends on.
+//! The clock port: monotonic time in milliseconds. No decision about charges depends on it.
 
 use std::time::Instant;
 
 /// A monotonic clock.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// Milliseconds since some moment before the process served anything.
+    /// Returns the milliseconds since a fixed moment before the process served its first request.
     fn now(&self) -> u64;
 }
 
-/// The system's monotonic clock.
+/// The monotonic clock of the system.
 #[derive(Clone, Copy, Debug)]
 pub struct Monotonic(Instant);
 
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -1,4 +1,4 @@
-//! Requests whose run is at another router: found by a hint, or by the claim, and passed on to it.
+//! Forwarding requests to the router that already runs them, which is found by a hint or a claim.
 
 use crate::clock::Clock;
 use crate::front::AdmittedRequest;
@@ -17,14 +17,14 @@
 use std::time::Duration;
 use upstream::Engine;
 
-/// How often a router looks whether a peer that it waits for is still alive.
+/// The interval at which a router checks whether the peer that it waits for is still alive.
 const LIVENESS_POLL: Duration = Duration::from_millis(100);
 
-/// Marks a request that a router passed on, so that it is passed on only once.
+/// The header that marks a forwarded request, so that it is forwarded only once.
 pub(crate) const FORWARDED: &str = "x-tallypaddle-forwarded";
 
-/// Passes a request with a key on to the router that runs it already, if a hint names one that answers;
-/// else leaves a hint that it runs here.
+/// Forwards a request with an idempotency key to the router that already runs it, if a hint names one that
+/// answers. Otherwise announces that the request runs here, and returns `None`.
 pub(crate) async fn forward_to_runner<W: Ports>(
     node: &Arc<Node<W>>,
     admitted: &AdmittedRequest,
@@ -44,7 +44,7 @@
     if let Some(location) = location.filter(|location| location.holder != node.holder)
         && let Some(response) = forward_request(node, &location.holder, head, body).await
     {
-        log::info!("caller: request={} is passed on to {}, which runs its key", admitted.id, location.holder);
+        log::info!("caller: request={} is forwarded to {}, which runs its key", admitted.id, location.holder);
         return Some(response);
     }
     let own_location =
@@ -68,7 +68,7 @@
     node.peers.call("locate", hint_router, call).await.ok().flatten()
 }
 
-/// Where callers reach a holder, if it is thought to be alive in the same incarnation.
+/// The address of a holder for callers, if it is considered alive and still has the same incarnation.
 pub(crate) fn address_of<W: Ports>(node: &Node<W>, holder: &str) -> Option<SocketAddr> {
     let (name, incarnation) = holder.split_once('#')?;
     let now = node.clock.now();
@@ -78,8 +78,8 @@
     member.callers.filter(|_| same)
 }
 
-/// Passes a request on to `holder` and hands back the answer as it comes; `None` if that router can't be
-/// reached or falls silent before it answers.
+/// Forwards a request to `holder` and relays the answer. Returns `None` if that router can't be reached, or
+/// is no longer considered alive before it answers.
 pub(crate) async fn forward_request<W: Ports>(
     node: &Arc<Node<W>>,
     holder: &str,
@@ -103,14 +103,14 @@
     Some(relay(answer, async move { until_not_alive(&node, &holder).await }))
 }
 
-/// Waits until a holder is no longer thought to be alive in the same incarnation.
+/// Waits until a holder is no longer considered alive or has another incarnation.
 async fn until_not_alive<W: Ports>(node: &Node<W>, holder: &str) {
     while address_of(node, holder).is_some() {
         exec::sleep(LIVENESS_POLL).await;
     }
 }
 
-/// Takes out the headers that belong to one connection.
+/// Removes the headers that apply to a single connection.
 pub(crate) fn strip_connection_headers(headers: &mut http::HeaderMap) {
     for name in [CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING] {
         headers.remove(name);
@@ -118,7 +118,7 @@
     headers.remove("keep-alive");
 }
 
-/// Hands an answer on as it comes; if it breaks off, or `ended` comes first, the copy breaks off too.
+/// Relays an answer as it arrives. If its body fails or `ended` completes first, the relayed body is aborted.
 pub(crate) fn relay(
     answer: Response<Incoming>,
     ended: impl Future<Output = ()> + Send + 'static,
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: who asks, for what, and whether the same was asked before.
+//! The callers' listener: authentication, dispatch by path, and deduplication by idempotency key.
 
 use crate::clock::Clock;
 use crate::job::{self, Job};
@@ -20,39 +20,39 @@
 use uuid::Uuid;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest idempotency key in bytes.
+/// The maximum length of an idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 255;
-/// When a caller should come back to a router that is stopping or not ready, in milliseconds.
+/// The `Retry-After` time of a router that is stopping or has no bundle, in milliseconds.
 const RETRY_ELSEWHERE_MS: u64 = 1_000;
-/// The header that names a request.
+/// The header that holds the id of a request.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
 
-/// A request whose caller is known.
+/// A request with a valid access key.
 #[derive(Debug)]
 pub(crate) struct AdmittedRequest {
-    /// The request's id in the fleet.
+    /// The id of the request, unique in the fleet.
     pub id: String,
     pub access: Access,
     pub bundle: Arc<ActiveBundle>,
     /// The caller's idempotency key.
     pub key: Option<String>,
-    /// Whether another router passed it on.
+    /// Whether another router forwarded the request.
     pub forwarded: bool,
 }
 
 impl AdmittedRequest {
-    /// The key under which the request's flight is found.
+    /// The key of the request's shared answer; `None` without an idempotency key.
     pub(crate) fn answer_key(&self) -> Option<String> {
         self.key.as_ref().map(|key| format!("{}|{key}", self.access.budget))
     }
 }
 
-/// Answers one request of a caller.
+/// Answers a request of a caller.
 pub(crate) async fn answer<W: Ports>(node: Arc<Node<W>>, request: Request<Incoming>) -> Response<Body> {
     let id = Uuid::new_v4().to_string();
     node.open_requests.fetch_add(1, Ordering::Relaxed);
     node.metrics.open.inc();
-    // Boxed, so that a stream does not keep the memory of what led to it.
+    // Boxed, so that the connection does not hold the memory of this future while it streams the answer.
     let mut response = match Box::pin(handle(&node, &id, request)).await {
         Ok(response) => response,
         Err(refusal) => {
@@ -150,7 +150,7 @@
     response
 }
 
-/// Reads a whole body within the limits.
+/// Reads a whole body within the limits on size and time.
 pub(crate) async fn read_body<W: Ports>(
     node: &Node<W>,
     bundle: &ActiveBundle,
@@ -196,7 +196,8 @@
     Ok(response.await)
 }
 
-/// Answers a keyed request from a run that is here or at another router; `None` if it is to be run here.
+/// Answers a request with an idempotency key from an earlier run on this or another router. Returns `None` if
+/// the request has no key or must be run here.
 pub(crate) async fn find_existing_run<W: Ports>(
     node: &Arc<Node<W>>,
     admitted: &AdmittedRequest,
@@ -208,10 +209,11 @@
         return Ok(None);
     };
     match node.shared_answers.find_or_insert(&key, shared, node.clock.now()) {
-        // A flight that was passed on may wait for the very router that passes this request on.
+        // The earlier request was forwarded, perhaps to the router that forwards this one: waiting for its
+        // answer could be a deadlock.
         Lookup::Same(earlier) if admitted.forwarded && earlier.is_from_peer() => return Ok(None),
         Lookup::Same(earlier) => {
-            log::info!("caller: request={} joins request={}", admitted.id, earlier.request);
+            log::info!("caller: request={} follows the answer of request={}", admitted.id, earlier.request);
             return Ok(Some(follow_run(earlier).await));
         }
         Lookup::Mismatch => return Err(key_mismatch()),
@@ -222,7 +224,7 @@
         shared.set_from_peer(false);
         return Ok(None);
     };
-    // Others may follow this flight already, so the answer goes through it.
+    // Other callers may follow this answer already, so the response is copied to it.
     let response = shared.clone().follow();
     let (node, shared) = (node.clone(), shared.clone());
     exec::spawn(async move {
@@ -233,7 +235,7 @@
     Ok(Some(response.await))
 }
 
-/// Answers a caller from a run that an earlier request began; the answer names that one.
+/// Answers a caller from the run of an earlier request, whose id the response names.
 async fn follow_run(shared: Arc<SharedAnswer>) -> Response<Body> {
     let first = HeaderValue::from_str(&shared.request);
     let mut response = shared.follow().await;
@@ -244,7 +246,7 @@
     response
 }
 
-/// The refusal of a key that was used for another request.
+/// The refusal of an idempotency key that was used for a different request.
 fn key_mismatch() -> Refusal {
     let message = "this Idempotency-Key was used for another request; take a new key".to_owned();
     Refusal::not_run(StatusCode::UNPROCESSABLE_ENTITY, "idempotency_mismatch", "parse", message)
--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -1,4 +1,4 @@
-//! This router's grants: reservations, charges and loans, in shards under their own locks.
+//! The grants of this router: reservations, charges and loans, in shards with a lock each.
 
 use budget::demand::{Demand, Terms, is_off_target};
 use budget::grant::{Grant, Reserve};
@@ -9,25 +9,25 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Shards of the grants.
+/// The number of shards.
 const SHARDS: usize = 16;
-/// Budgets in one batch, so that a transaction stays small.
+/// The maximum number of budgets in a batch, which bounds the size of a transaction.
 const MAX_BATCH_BUDGETS: usize = 48;
-/// Charges in one batch, so that a transaction stays small.
+/// The maximum number of charges in a batch, which bounds the size of a transaction.
 const MAX_BATCH_CHARGES: usize = 48;
-/// Milliseconds for which a pool that was seen empty is taken to be empty.
+/// How long a pool that was found empty is assumed to be still empty, in milliseconds.
 const POOL_EMPTY_MS: u64 = 250;
-/// Loans remembered, so that a repeated request lends nothing more.
+/// The number of loans that are remembered, so that a repeated request lends nothing more.
 const MAX_LOANS: usize = 10_000;
 
-/// What the bundle says of a budget.
+/// The bundle's settings of a budget.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct BudgetTerms {
     credits: Vec<Credit>,
     terms: Terms,
 }
 
-/// Which error weighs more for `budget`.
+/// Whether overspending or refusals weigh more for `budget`.
 pub(crate) fn weighing(bundle: &Bundle, budget: &str) -> Weighing {
     let content = budget
         .split_once('/')
@@ -35,7 +35,7 @@
     content.map(|content| content.weighing).unwrap_or_default()
 }
 
-/// Reads what was agreed on `budget`, named `team/budget`.
+/// Returns the bundle's settings of `budget`, which is named as `team/budget`.
 fn budget_terms(bundle: &Bundle, budget: &str) -> Option<BudgetTerms> {
     let (team, name) = budget.split_once('/')?;
     let content = bundle.teams.get(team)?.budgets.get(name)?;
@@ -48,7 +48,7 @@
     Some(BudgetTerms { credits: content.credits.clone(), terms })
 }
 
-/// One budget here.
+/// The state of a budget on this router.
 #[derive(Debug, Default)]
 struct BudgetState {
     grant: Grant,
@@ -61,40 +61,40 @@
     changed: Arc<Event>,
 }
 
-/// One budget as operators see it; all in tokens.
+/// The state of a budget for operators, in tokens.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct BudgetView {
     pub available: u64,
     pub reserved: u64,
     pub unknown: u64,
     pub total: u64,
-    /// What no router held when this one last settled.
+    /// The tokens that no router held when this one last settled.
     pub free: Option<u64>,
 }
 
-/// A reservation that fell short.
+/// A reservation that failed.
 #[derive(Debug)]
 pub(crate) struct Shortage {
-    /// Tokens that are missing; 0 if they are here, but their use was not exposed yet.
+    /// The missing tokens; 0 if the grant has enough but not all of them are exposed yet.
     pub missing: u64,
-    /// Notified when something changes.
+    /// Notified when the budget's state changes.
     pub changed: EventListener,
 }
 
-/// What is known about tokens that are missing.
+/// Where missing tokens may be available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Availability {
-    /// No settlement has said yet.
+    /// No settlement has read the pool yet.
     Unknown,
-    /// The budget has fewer tokens left than the request may need, wherever they are.
+    /// The whole budget has fewer tokens left than the request may need.
     Exhausted,
-    /// Other routers hold tokens, or requests in progress here may give some back.
+    /// Other routers hold tokens, or requests in progress on this router may release some.
     HeldElsewhere,
-    /// The pool had tokens left at the last settlement.
+    /// The pool had free tokens at the last settlement.
     InPool,
 }
 
-/// This router's grants.
+/// The grants of this router.
 #[derive(Debug)]
 pub(crate) struct Grants {
     holder: String,
@@ -130,7 +130,7 @@
         change(shard.get_mut(budget).expect("the slot was entered above"))
     }
 
-    /// Reserves the worst case of a request (I6), or notes what is missing.
+    /// Reserves the maximum that a request can consume (I6), or records the shortage for the next settlement.
     pub(crate) fn reserve(&self, budget: &str, tokens: u64, now: u64) -> Result<(), Shortage> {
         self.with(budget, |state| {
             state.demand.ask(now);
@@ -148,7 +148,7 @@
         })
     }
 
-    /// Gives back a reservation whose request certainly consumed nothing.
+    /// Releases a reservation whose request certainly consumed nothing.
     pub(crate) fn release(&self, budget: &str, tokens: u64) {
         self.with(budget, |state| {
             state.grant.release(tokens);
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Charges a reservation; returns the tokens above it that were cut off.
+    /// Charges a reservation. Returns the tokens above the reservation, which are not charged.
     pub(crate) fn charge(&self, budget: &str, reserved: u64, charge: Charge) -> u64 {
         self.with(budget, |state| {
             state.demand.consume(charge.tokens);
@@ -166,12 +166,12 @@
         })
     }
 
-    /// Keeps the reservation of a run whose end is not known.
+    /// Holds the reservation of a run whose outcome is unknown.
     pub(crate) fn hold_unknown(&self, budget: &str, reserved: u64) {
         self.with(budget, |state| state.grant.lose(reserved));
     }
 
-    /// Ends a reservation whose run consumed `tokens` for an answer that nobody got.
+    /// Ends a reservation whose run consumed `tokens` for an answer that nobody received.
     pub(crate) fn write_off(&self, budget: &str, reserved: u64, tokens: u64) {
         self.with(budget, |state| {
             state.grant.waste(reserved, tokens);
@@ -179,11 +179,12 @@
         });
     }
 
-    /// Ends a lost run once it is known that it consumed `tokens`: charged by `bill`, or wasted.
-    pub(crate) fn resolve_unknown(&self, budget: &str, reserved: u64, tokens: u64, bill: Option<Charge>) {
+    /// Ends the held reservation of a run that is now known to have consumed `tokens`. They are charged
+    /// with `charge`, or written off if it is `None`.
+    pub(crate) fn resolve_unknown(&self, budget: &str, reserved: u64, tokens: u64, charge: Option<Charge>) {
         self.with(budget, |state| {
             state.grant.find(reserved);
-            match bill {
+            match charge {
                 Some(charge) => {
                     state.grant.charge(reserved, charge);
                 }
@@ -193,7 +194,7 @@
         });
     }
 
-    /// What is known about tokens that are missing for a request of `tokens`.
+    /// Where the tokens that are missing for a request of `tokens` may be available.
     pub(crate) fn availability(&self, budget: &str, tokens: u64) -> Availability {
         self.with(budget, |state| {
             let Some(pool) = &state.pool else {
@@ -217,13 +218,14 @@
         })
     }
 
-    /// How often this budget was settled: a caller sees by it whether a settlement came after its request.
+    /// The number of settlements of the budget. Callers compare it to detect a settlement after their
+    /// request.
     pub(crate) fn settlements(&self, budget: &str) -> u64 {
         self.with(budget, |state| state.settlements)
     }
 
-    /// Whether any budget misses tokens that the pool may have: one that was just seen empty is not asked
-    /// again for every request.
+    /// Whether a budget needs a settlement now to get tokens from the pool or to expose more. A pool that was
+    /// just found empty is not asked again for every request.
     pub(crate) fn needs_settlement(&self, now: u64) -> bool {
         let is_short = |state: &BudgetState| {
             let empty = state.pool.as_ref().is_some_and(|pool| pool.free == 0);
@@ -236,8 +238,8 @@
         })
     }
 
-    /// Opens the entries of the next batch. `elapsed_ms` is the time since the last one; with `close`
-    /// everything unused is given back.
+    /// Opens the entries of the next batch. `elapsed_ms` is the time since the last batch. With `close`, all
+    /// unused tokens are returned.
     pub(crate) fn open_entries(
         &self,
         bundle: &Bundle,
@@ -263,7 +265,7 @@
         entries
     }
 
-    /// Closes the entries of a batch that took effect.
+    /// Closes the entry of a budget in a batch that took effect.
     pub(crate) fn close_entry(&self, budget: &str, line: &Line, pool: Option<&Pool>, now: u64) {
         self.with(budget, |state| {
             state.grant.close(line);
@@ -276,7 +278,7 @@
         });
     }
 
-    /// Lifts the bound on what may be used of a budget until the next settlement.
+    /// Lifts the exposure limit of a budget until the next settlement.
     pub(crate) fn lift_exposure_limit(&self, budget: &str) {
         self.with(budget, |state| {
             state.grant.raise();
@@ -284,13 +286,14 @@
         });
     }
 
-    /// Lends tokens to a peer; the same `id` lends nothing more.
+    /// Lends tokens to a peer. A repeated `id` lends nothing more and returns the same result.
     pub(crate) fn lend(&self, id: &str, budget: &str, tokens: u64) -> u64 {
         let mut loans = self.loans.lock().expect("no thread panics while it holds the lock");
         if let Some(lent) = loans.lent.get(id) {
             return *lent;
         }
-        // Of two routers that both miss tokens one must yield, or both refuse what together they could serve.
+        // If two routers both miss tokens, one must yield. Otherwise both would refuse requests although
+        // their tokens together suffice for one of them.
         let must_yield = id < self.holder.as_str();
         let lent = self.with(budget, |state| match state.missing > 0 && !must_yield {
             true => 0,
@@ -306,7 +309,7 @@
         lent
     }
 
-    /// Adds tokens that a peer lent.
+    /// Adds tokens that were borrowed from a peer.
     pub(crate) fn receive(&self, budget: &str, tokens: u64) {
         self.with(budget, |state| {
             state.grant.receive(tokens);
@@ -314,7 +317,7 @@
         });
     }
 
-    /// The budgets here.
+    /// The budgets on this router, for operators.
     pub(crate) fn views(&self) -> BTreeMap<String, BudgetView> {
         let mut view = BTreeMap::new();
         for shard in &self.shards {
@@ -334,7 +337,7 @@
     }
 }
 
-/// When a batch is opened.
+/// The time at which a batch is opened, and whether it is the last one.
 #[derive(Clone, Copy, Debug)]
 struct BatchTiming {
     now: u64,
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -1,8 +1,9 @@
-//! One request to a model, from its claim and reservation to its charge.
+//! A request to a model, from its claim and reservation to its charge.
 //!
-//! Each step returns what to do next. A request that may be repeated is tried elsewhere when its run is
-//! certainly not started or certainly stopped; one that may not is tried elsewhere only when the engine says
-//! that it never saw the run and never will (I3, I4).
+//! As long as nothing of the answer was relayed, a request that may be repeated is retried on another
+//! upstream, even if its run was stopped or its outcome is unknown; these cases take a new reservation. A
+//! request that must not be repeated is retried only if its run certainly did not start and never will (I3,
+//! I4).
 
 use crate::attempt::{AttemptOutcome, Progress};
 use crate::claims::{self, ClaimOutcome};
@@ -23,12 +24,12 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Attempts at most, however many retries were earned.
+/// The maximum number of attempts, however many retries were earned.
 const MAX_ATTEMPTS: u32 = 4;
-/// When a caller should come back after an upstream failed, in milliseconds.
+/// The `Retry-After` time after an upstream failed, in milliseconds.
 pub(crate) const FAILED_RETRY_MS: u64 = 1_000;
 
-/// One request to a model.
+/// A request to a model.
 pub(crate) struct Job<W: Ports> {
     pub node: Arc<Node<W>>,
     pub admitted: AdmittedRequest,
@@ -39,22 +40,22 @@
     pub body: Bytes,
 }
 
-/// How an attempt leaves its request.
-enum AttemptResult {
-    /// It is answered.
+/// The state of a request after an attempt.
+enum NextStep {
+    /// The request is answered.
     Done,
-    /// It is to be tried elsewhere.
+    /// The request is to be retried on another upstream, for this reason.
     Retry(String),
 }
 
-/// Serves a request and ends its flight.
+/// Serves a request and ends its answer.
 pub(crate) async fn run<W: Ports>(job: Job<W>) {
     let result = job.serve().await;
     let node = &job.node;
     finish_request(node, &job.admitted, &job.answer, &result);
 }
 
-/// Ends a request's flight and record. A request that was refused may be asked again with its key.
+/// Ends a request's answer and record. The key of a refused request is released, so that it can be retried.
 pub(crate) fn finish_request<W: Ports>(
     node: &Node<W>,
     admitted: &AdmittedRequest,
@@ -119,20 +120,20 @@
         let mut progress = Progress { arrived: node.clock.now(), ..Progress::default() };
         loop {
             match self.try_once(model, &mut progress).await {
-                Ok(AttemptResult::Done) => return Ok(()),
-                Ok(AttemptResult::Retry(why)) => {
+                Ok(NextStep::Done) => return Ok(()),
+                Ok(NextStep::Retry(why)) => {
                     node.metrics.retries.inc();
                     node.record_step(&self.admitted.id, format!("tries elsewhere: {why}"));
                 }
-                // What an earlier attempt did stays true whatever the last one says (I4).
+                // The refusal must not claim less execution than an earlier attempt caused (I4).
                 Err(refusal) => return Err(refusal.at_least(progress.execution)),
             }
         }
     }
 
-    /// Chooses an upstream and attempts the run there; the request holds a reservation before and after,
-    /// unless it has ended.
-    async fn try_once(&self, model: &Model, progress: &mut Progress) -> Result<AttemptResult, Refusal> {
+    /// Chooses an upstream and attempts the run there. The request holds a reservation before the call, and
+    /// after it unless it has ended.
+    async fn try_once(&self, model: &Model, progress: &mut Progress) -> Result<NextStep, Refusal> {
         let node = &self.node;
         let budget = &self.admitted.access.budget;
         let (choice, slot) = Box::pin(self.choose(model, progress))
@@ -145,23 +146,23 @@
             progress.excluded.clear();
         }
         match next {
-            AttemptOutcome::Complete => Ok(AttemptResult::Done),
+            AttemptOutcome::Complete => Ok(NextStep::Done),
             AttemptOutcome::Refuse(refusal) => Err(refusal),
             AttemptOutcome::RetryReserved(why) => {
                 self.check_retry(progress.attempts, &why)
                     .inspect_err(|_| node.grants.release(budget, self.ask.max_tokens))?;
-                Ok(AttemptResult::Retry(why))
+                Ok(NextStep::Retry(why))
             }
             AttemptOutcome::RetryUnreserved(why, execution) => {
                 progress.execution = progress.execution.max(execution);
                 self.check_retry(progress.attempts, &why)?;
                 Box::pin(reserve(node, budget, self.ask.max_tokens)).await?;
-                Ok(AttemptResult::Retry(why))
+                Ok(NextStep::Retry(why))
             }
         }
     }
 
-    /// How many upstreams serve the model.
+    /// The number of upstreams that serve the model.
     fn serving_count(&self) -> usize {
         let upstreams = self.admitted.bundle.content.serving();
         upstreams.filter(|(_, upstream)| upstream.models.contains(&self.ask.model)).count()
--- a/crates/router/src/keep.rs
+++ b/crates/router/src/keep.rs
@@ -1,11 +1,12 @@
-//! What becomes of the tokens of a router that is gone.
+//! Recovering the tokens of routers that are gone.
 //!
-//! Each router names a keeper in its account row: a peer that may close the account. Closing gives back what
-//! the router can't have used, in one transaction; what it exposed stays outstanding. That is safe even if the
-//! router lives on, since it never uses more than it exposed (see [`budget::ledger::release`]).
+//! Each router names a keeper in its account row: a peer that may close the account. Closing returns, in one
+//! transaction, the tokens that the router can't have used; the exposed ones stay outstanding. This is safe
+//! even if the router still runs, since it never uses more than it has exposed (see
+//! [`budget::ledger::release`]).
 //!
-//! While the platform is away a router can't expose more. It asks its keeper for the promise never to close
-//! the account; then it may use all it holds.
+//! While the platform is unavailable, a router can't expose more tokens. It asks its keeper to promise never
+//! to close the account. With this promise it may use its whole grant.
 
 use crate::clock::Clock;
 use crate::node::Node;
@@ -18,7 +19,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use store::{Role, Table, Tx, Verdict, Vm};
 
-/// Keepings and promises.
+/// The keepers of this router's account, and the accounts that this router keeps.
 #[derive(Debug, Default)]
 pub(crate) struct AccountKeeping {
     state: Mutex<State>,
@@ -26,18 +27,18 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// The routers that the platform may name as this one's keeper: the one of the last batch that took
-    /// effect, and that of a batch whose outcome is not known yet.
+    /// The possible keepers in this router's account row: that of the last batch that took effect, and that
+    /// of a batch whose outcome is unknown.
     keepers: BTreeSet<String>,
-    /// The keeper that was told of its task.
+    /// The keeper that was notified of its task.
     notified_keeper: Option<String>,
-    /// The keeper that promised never to close this account: another one is named as soon as possible.
+    /// The keeper that promised never to close this account. Another one is named as soon as possible.
     promising_keeper: Option<String>,
-    /// The routers whose accounts this one keeps.
+    /// The holders of the accounts that this router keeps.
     kept_accounts: BTreeSet<String>,
-    /// Accounts that this one promised never to close.
+    /// The holders of accounts that this router promised never to close.
     promised: HashSet<String>,
-    /// Accounts that this one has closed, or tried to.
+    /// The holders of accounts that this router has closed or tried to close.
     closing: HashSet<String>,
 }
 
@@ -46,7 +47,9 @@
         self.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// The keeper for the next batch: the present one if it is alive, else the first alive on the ring.
+    /// Chooses the keeper for the next batch: the current one if it is alive, else the first live peer on the
+    /// ring. A keeper that promised not to close the account is chosen only if there is no other. The name is
+    /// empty if no peer is alive.
     pub(crate) fn choose_keeper<W: Ports>(&self, node: &Node<W>) -> String {
         let now = node.clock.now();
         let alive: Vec<String> = {
@@ -67,11 +70,13 @@
         chosen
     }
 
-    /// Notes that a batch took effect, and tells the keeper of its task until it has heard. If it never
-    /// hears, the account is never closed, which is safe.
+    /// Records that a batch took effect, and notifies the keeper unless it has confirmed its task. If the
+    /// keeper never learns of it, the account is never closed, which is safe.
     pub(crate) async fn record_settlement<W: Ports>(&self, node: &Node<W>, keeper: &str, closed: bool) {
         if closed {
-            log::error!("budget: this router's account was closed by its keeper; it takes no new work");
+            log::error!(
+                "budget: this router's account was closed by its keeper; no new requests are accepted"
+            );
             return node.stop_accepting();
         }
         let is_told = {
@@ -91,7 +96,7 @@
         }
     }
 
-    /// Gets the promise of every possible keeper that this router's account is not closed.
+    /// Asks all possible keepers to promise never to close this router's account. Returns whether all did.
     pub(crate) async fn request_promises<W: Ports>(&self, node: &Node<W>) -> bool {
         let keepers: Vec<String> = self.lock().keepers.iter().cloned().collect();
         for keeper in keepers.iter().filter(|keeper| !keeper.is_empty()) {
@@ -107,12 +112,12 @@
         true
     }
 
-    /// Takes a router's account into keeping.
+    /// Adds an account to those that this router keeps.
     pub(crate) fn add_account(&self, holder: &str) {
         self.lock().kept_accounts.insert(holder.to_owned());
     }
 
-    /// Promises never to close an account, unless it may be closed already.
+    /// Promises never to close an account. Returns `false` if it may have been closed already.
     pub(crate) fn promise_not_to_close(&self, holder: &str) -> bool {
         let mut state = self.lock();
         if state.closing.contains(holder) {
@@ -122,7 +127,7 @@
         true
     }
 
-    /// The kept accounts whose routers are gone; from now on no promise is given for them.
+    /// Returns the kept accounts whose routers are gone. No promise is given for them from now on.
     fn start_closing(&self, is_gone: impl Fn(&str) -> bool) -> Vec<String> {
         let mut state = self.lock();
         let State { kept_accounts, promised, closing, .. } = &mut *state;
@@ -140,7 +145,7 @@
     }
 }
 
-/// Where a router of this incarnation is reached by its peers.
+/// The address of a router for peers, if it still has the same incarnation.
 fn address_of<W: Ports>(node: &Node<W>, holder: &str) -> Option<SocketAddr> {
     let (name, incarnation) = holder.split_once('#')?;
     let view = node.view();
@@ -148,8 +153,8 @@
     (member.incarnation.to_string() == incarnation).then_some(member.address)
 }
 
-/// Closes the accounts of kept routers that the platform no longer lists and that don't answer, or that came
-/// back as another incarnation.
+/// Closes the kept accounts of routers that the platform no longer lists and that don't answer, or that have
+/// restarted with another incarnation.
 pub(crate) async fn close_accounts_of_gone_routers<W: Ports>(node: &Arc<Node<W>>, vms: &[Vm]) {
     let now = node.clock.now();
     let is_listed = |name: &str| vms.iter().any(|vm| vm.role == Role::Router && vm.name == name);
@@ -167,16 +172,19 @@
             Ok(Some(released)) => {
                 node.account_keeping.remove_account(&holder);
                 for (budget, tokens) in released {
-                    log::info!("budget: {holder} is gone, {tokens} tokens of {budget} are given back");
+                    log::info!("budget: {holder} is gone; {tokens} tokens of {budget} are returned");
                 }
             }
             Ok(None) => node.account_keeping.remove_account(&holder),
-            Err(error) => log::warn!("budget: the account of {holder} can't be closed yet: {error}"),
+            Err(error) => {
+                log::warn!("budget: closing the account of {holder} failed and is retried: {error}")
+            }
         }
     }
 }
 
-/// Closes one account; `None` if it is closed already or another router keeps it.
+/// Closes an account and returns the released tokens by budget. Returns `None` if the account does not exist,
+/// is closed already, or has another keeper.
 async fn close_account<W: Ports>(
     node: &Node<W>,
     holder: &str,
@@ -204,7 +212,7 @@
     }
     match node.platform.commit(&tx).await {
         Ok(Verdict::Applied) => Ok(Some(released)),
-        Ok(Verdict::Conflict) => Err("another write was faster".to_owned()),
+        Ok(Verdict::Conflict) => Err("another writer changed a row in the meantime".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
--- a/crates/router/src/leaving.rs
+++ b/crates/router/src/leaving.rs
@@ -1,4 +1,5 @@
-//! Leaving upstreams: the platform's list, the engines' own mark and the peers' word, whichever comes first.
+//! Detection of leaving upstreams from the platform's list, the upstreams' load reports and the hints of
+//! peers, whichever comes first. Also reclaims lent slots of borrowers that are gone.
 
 use crate::clock::Clock;
 use crate::forward;
@@ -17,15 +18,16 @@
 use store::{List, Role, Vm};
 use upstream::Engine;
 
-/// Load reports that one router asks for in a second, however many upstreams it uses.
+/// The maximum number of load reports per second that a router reads, however many upstreams it uses.
 const LOAD_READS_PER_S: u64 = 50;
-/// Lists of VMs that all routers together ask for in a second.
+/// The maximum number of VM lists per second that all routers together read.
 const FLEET_LIST_READS_PER_S: u64 = 400;
-/// Bytes of one entry of the list, and bytes of the list that one router reads in a second on average.
+/// The size of an entry of the list in bytes, and the bytes of the list per second that a router reads on
+/// average.
 const ENTRY_BYTES: u64 = 120;
 const LIST_BYTES_PER_S: u64 = 1_500;
 
-/// Watches the upstreams and the VM list.
+/// Polls the VM list and the load of the upstreams until the router has stopped.
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: Receiver<()>) {
     let lists = poll_vm_list(&node, &requested);
     let loads = poll_loads(&node);
@@ -52,7 +54,7 @@
     }
 }
 
-/// Marks the upstreams that the list says are leaving, and those that it no longer says so of.
+/// Records the upstreams that the list newly shows as leaving, and those that it no longer does.
 fn apply_list<W: Ports>(node: &Arc<Node<W>>, vms: &[Vm], known_leaving: &mut BTreeSet<String>) {
     let upstreams: BTreeMap<&str, bool> =
         vms.iter().filter(|vm| vm.role == Role::Upstream).map(|vm| (vm.name.as_str(), vm.leaving)).collect();
@@ -72,8 +74,8 @@
 
 fn set_leaving<W: Ports>(node: &Arc<Node<W>>, name: &str, leaving: bool, source: &str) {
     if node.schedule.set_leaving(name, leaving) {
-        let what = if leaving { "leaves, it gets no new work" } else { "stays" };
-        log::info!("upstream: {name} {what}, says {source}");
+        let what = if leaving { "is leaving and gets no new requests" } else { "is no longer leaving" };
+        log::info!("upstream: {name} {what}, according to {source}");
         let _ = node.heartbeat_now.try_send(());
         if leaving {
             notify_owners(node, name);
@@ -81,7 +83,7 @@
     }
 }
 
-/// Tells the routers that send work to an upstream: they may look at the list only much later.
+/// Notifies the routers that own slots of an upstream, since they may read the list only much later.
 fn notify_owners<W: Ports>(node: &Arc<Node<W>>, name: &str) {
     let owners = node.schedule.owners(name);
     for (_, address) in node.alive_peers().into_iter().filter(|(owner, _)| owners.contains(owner)) {
@@ -98,13 +100,13 @@
     }
 }
 
-/// Takes back the slots of borrowers that are gone, once their runs must have ended.
+/// Takes back the slots of borrowers that are gone. This waits for the time-out for the start of an answer.
 fn reclaim_slots<W: Ports>(node: &Node<W>) {
     let now = node.clock.now();
     let longest = node.settings.limits.start_ms;
     let is_gone = |borrower: &str| forward::address_of(node, borrower).is_none();
     for id in node.slot_loans.overdue(now.saturating_sub(longest), is_gone) {
-        log::warn!("route: slot {id} is taken back, its borrower is gone");
+        log::warn!("route: slot {id} is taken back because its borrower is gone");
         node.slot_loans.take_back(&node.schedule, &id, false);
     }
 }
@@ -122,7 +124,7 @@
             match load {
                 Ok(load) => {
                     if load.leaving != known_leaving.contains(&name) {
-                        set_leaving(node, &name, load.leaving, "its own mark");
+                        set_leaving(node, &name, load.leaving, "its load report");
                         if load.leaving {
                             known_leaving.insert(name.clone());
                         } else {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,7 +1,8 @@
-//! The router that every entry VM runs.
+//! The router that runs on every entry VM.
 //!
-//! [`Settings`] say who it is, [`start`] runs it against the ports of the platform and the upstreams. The
-//! decisions are in the crates `budget`, `route`, `bundle` and `peer`; here they meet the network.
+//! [`Settings`] configure a router, and [`start`] runs it with adapters for the platform and the upstreams.
+//! The crates `budget`, `route`, `bundle` and `peer` hold the decision logic; this crate connects it to the
+//! network.
 //!
 //! ```no_run
 //! # async fn example(text: &str) -> std::io::Result<()> {
@@ -47,7 +48,7 @@
 
 use std::time::Duration;
 
-/// The HTTP adapters and the system's clock.
+/// The HTTP adapters and the system clock.
 #[derive(Debug)]
 pub struct OnHttp;
 
@@ -57,10 +58,10 @@
     type Platform = store::Http;
 }
 
-/// Starts a router with the HTTP adapters.
+/// Starts a router with the HTTP adapters and the system clock.
 ///
 /// # Errors
-/// Fails if an address can't be bound.
+/// Returns an error if an address can't be bound or the settings hold no valid fleet key.
 pub async fn start_with_http(settings: Settings) -> std::io::Result<Running<OnHttp>> {
     let client = net::Client::new();
     let time = Duration::from_millis(settings.platform.timeout_ms);
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -1,4 +1,4 @@
-//! What this router does with the calls of its peers.
+//! The handler for calls from peers.
 
 use crate::clock::Clock;
 use crate::node::Node;
@@ -7,10 +7,11 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 
-/// Hints kept.
+/// The maximum number of hints.
 const MAX_HINTS: usize = 50_000;
 
-/// Where requests with a key run, as peers told; losing it costs only time.
+/// Hints of peers where requests with an idempotency key run. A lost hint costs only time, since claims
+/// decide who runs a request that may run only once.
 #[derive(Debug, Default)]
 pub(crate) struct RunHints {
     state: Mutex<RunHintsState>,
@@ -39,7 +40,7 @@
     }
 }
 
-/// The service that this router offers.
+/// The service that this router offers to its peers.
 pub(crate) struct PeerService<W: Ports>(pub(crate) Arc<Node<W>>);
 
 impl<W: Ports> Clone for PeerService<W> {
@@ -49,58 +50,60 @@
 }
 
 impl<W: Ports> Handler for PeerService<W> {
-    fn beat(&self, beat: Heartbeat) -> Heartbeat {
+    fn exchange_heartbeat(&self, beat: Heartbeat) -> Heartbeat {
         crate::membership::record_heartbeat(&self.0, &beat);
         self.0.heartbeat()
     }
 
-    fn borrow(&self, ask: BorrowRequest) -> BorrowReply {
+    fn lend_tokens(&self, ask: BorrowRequest) -> BorrowReply {
         let tokens = self.0.grants.lend(&ask.id, &ask.budget, ask.tokens);
         if tokens > 0 {
             self.0.metrics.lent.inc_by(tokens);
-            log::info!("budget: lent {tokens} tokens of {} under {}", ask.budget, ask.id);
+            log::info!("budget: lent {tokens} tokens of {} for loan {}", ask.budget, ask.id);
         }
         BorrowReply { tokens }
     }
 
-    fn fetch(&self, digests: &[String]) -> Vec<Option<String>> {
+    fn bundle_parts(&self, digests: &[String]) -> Vec<Option<String>> {
         let bundle = self.0.bundle();
         digests.iter().map(|digest| bundle.parts.get(digest).cloned()).collect()
     }
 
-    fn announce(&self, location: RunLocation) {
+    fn record_run(&self, location: RunLocation) {
         self.0.run_hints.insert(location);
     }
 
-    fn locate(&self, key: &str) -> Option<RunLocation> {
+    fn find_run(&self, key: &str) -> Option<RunLocation> {
         self.0.run_hints.get(key)
     }
 
-    async fn slot(&self, ask: SlotRequest) -> Option<String> {
+    async fn lend_slot(&self, ask: SlotRequest) -> Option<String> {
         self.0.slot_loans.lend(&self.0.schedule, self.0.clock.now(), ask).await
     }
 
-    fn free(&self, id: &str, failed: bool) {
+    fn release_slot(&self, id: &str, failed: bool) {
         self.0.slot_loans.take_back(&self.0.schedule, id, failed);
     }
 
-    fn hint_leaving(&self, upstream: &str, from: &str) {
+    fn record_leaving_hint(&self, upstream: &str, from: &str) {
         if self.0.schedule.record_leaving_hint(upstream) {
-            log::info!("upstream: {upstream} leaves, it gets no new work, hints {from}");
+            log::info!(
+                "upstream: {upstream} is leaving and gets no new requests, according to a hint of {from}"
+            );
         }
-        // A hint ages; only this router's own look at the list makes it last.
+        // The hint expires, so this router reads the platform's list itself.
         let _ = self.0.list_now.try_send(());
     }
 
-    fn keep(&self, holder: &str) {
+    fn become_keeper(&self, holder: &str) {
         self.0.account_keeping.add_account(holder);
     }
 
-    fn spare(&self, holder: &str) -> bool {
+    fn promise_not_to_close(&self, holder: &str) -> bool {
         self.0.account_keeping.promise_not_to_close(holder)
     }
 
-    fn standing(&self) -> BundleStatus {
+    fn bundle_status(&self) -> BundleStatus {
         let bundle = self.0.bundle();
         BundleStatus {
             name: self.0.settings.name.clone(),
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -1,4 +1,5 @@
-//! Heartbeats between routers: who is alive, which bundle is in force, which upstreams leave.
+//! Heartbeats between routers. They show which routers are alive, which bundle each has in force, and which
+//! upstreams are leaving.
 
 use crate::clock::Clock;
 use crate::node::Node;
@@ -13,12 +14,12 @@
 use std::sync::Arc;
 use store::{List, Role};
 
-/// Routers that get heartbeats from one router, whatever the size of the fleet.
+/// The number of routers to which a router sends heartbeats, independent of the size of the fleet.
 const HEARTBEAT_FANOUT: usize = 6;
-/// Routers that a new one greets before it takes up a bundle.
+/// The maximum number of routers that a new router contacts before it adopts a bundle.
 const MAX_GREETED: usize = 16;
 
-/// Sends heartbeats in regular intervals, and at once when there is news.
+/// Sends heartbeats at regular intervals, and at once when requested.
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: Receiver<()>) {
     while !node.is_stopped() {
         let targets: Vec<(String, SocketAddr)> = {
@@ -38,8 +39,9 @@
     }
 }
 
-/// Makes a new router known to its seeds and to those that the platform lists, and takes up the latest
-/// bundle that one of them has in force: the platform may be away, or answer with an older one.
+/// Sends the first heartbeats of a new router to its seeds and the routers that the platform lists, and
+/// adopts the latest bundle that one of them has in force. The platform may be unavailable or return an older
+/// bundle.
 pub(crate) async fn join_fleet<W: Ports>(node: &Arc<Node<W>>) {
     if let Ok(vms) = node.platform.list().await {
         update_members(node, &vms);
@@ -78,17 +80,17 @@
     }
 }
 
-/// Takes in a heartbeat.
+/// Records a heartbeat, and acts on what changed.
 pub(crate) fn record_heartbeat<W: Ports>(node: &Arc<Node<W>>, beat: &Heartbeat) {
     let now = node.clock.now();
     let is_new = node.view().record_heartbeat(beat, now);
     if is_new {
-        log::info!("peer: {} #{} is heard from {}", beat.name, beat.incarnation, beat.address);
+        log::info!("peer: {} #{} sends heartbeats from {}", beat.name, beat.incarnation, beat.address);
         node.reassign_slots();
     }
     for name in &beat.leaving {
         if node.schedule.record_leaving_hint(name) {
-            log::info!("upstream: {name} leaves, it gets no new work, says {}", beat.name);
+            log::info!("upstream: {name} is leaving and gets no new requests, according to {}", beat.name);
         }
     }
     if beat.sequence > node.bundle().sequence {
@@ -97,7 +99,7 @@
     }
 }
 
-/// Takes in the platform's list of VMs.
+/// Updates the view of the fleet from the platform's list of VMs.
 pub(crate) fn update_members<W: Ports>(node: &Node<W>, vms: &[store::Vm]) {
     let routers: Vec<Member> = vms
         .iter()
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,33 +1,33 @@
-//! The router's metrics; the book lists each name with its unit and meaning.
+//! The router's metrics. The book documents each name with its unit and meaning.
 
 use prometheus::{
     Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Bucket bounds for times to the first token, in seconds.
+/// The bucket bounds of the time to the first token, in seconds.
 const FIRST_TOKEN_BOUNDS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.69, 1.0, 3.0, 10.0];
 
-/// Everything that is counted.
+/// The metrics of a router.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Answers by outcome.
+    /// Completed requests by outcome.
     pub answers: IntCounterVec,
     /// Routing decisions by reason.
     pub decisions: IntCounterVec,
-    /// Requests refused by code.
+    /// Refused requests by code.
     pub refusals: IntCounterVec,
     /// Tokens charged.
     pub charged: IntCounter,
-    /// Tokens consumed by runs whose answer nobody got; not charged.
+    /// Tokens consumed by runs whose answer nobody received; they are not charged.
     pub wasted: IntCounter,
-    /// Tokens held for runs whose end is not known.
+    /// Tokens held for runs whose outcome is unknown.
     pub unknown: IntGauge,
-    /// Tokens above a reservation that a wrong report named.
+    /// Tokens that upstreams reported above the reservation; they are not charged.
     pub excess: IntCounter,
     /// Attempts after the first.
     pub retries: IntCounter,
-    /// Streams taken up again.
+    /// Resumed streams.
     pub resumes: IntCounter,
     /// Calls to the platform by step and outcome.
     pub platform: IntCounterVec,
@@ -35,17 +35,17 @@
     pub lent: IntCounter,
     /// Tokens borrowed from peers.
     pub borrowed: IntCounter,
-    /// Loans whose answer is still being asked for.
+    /// Loans whose answer was lost and is still being asked for.
     pub loans_open: IntGauge,
-    /// Requests in progress.
+    /// Open requests.
     pub open: IntGauge,
-    /// The bundle sequence in force.
+    /// The sequence of the bundle in force.
     pub sequence: IntGauge,
-    /// Bundles rejected.
+    /// Rejected bundles.
     pub rejected: IntCounter,
-    /// Upstreams ejected.
+    /// Ejections of upstreams.
     pub ejections: IntCounter,
-    /// Time to the first token.
+    /// The time to the first token.
     pub first_token: Histogram,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The metrics in the text format.
+    /// Returns the metrics in the Prometheus text format.
     pub(crate) fn encode(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
--- a/crates/router/src/model_request.rs
+++ b/crates/router/src/model_request.rs
@@ -1,4 +1,4 @@
-//! A caller's model request: what the router reads of it, and the body that the upstream gets.
+//! Model requests of callers: their parsing, and the body that is sent to the upstream.
 
 use crate::refusal::Refusal;
 use bundle::Bundle;
@@ -7,32 +7,32 @@
 use serde_json::{Map, Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Tokens added to the prompt's bound for what an engine's template puts around it.
+/// The tokens added to the bound of a prompt for the template that an engine puts around it.
 const TEMPLATE_TOKENS: u64 = 16;
-/// Bytes of a prompt that make its prefix.
+/// The number of leading bytes of a prompt that form its prefix.
 const PREFIX_BYTES: usize = 256;
-/// The most answers to one request.
+/// The maximum number of answers to one request.
 const MAX_ANSWERS: u64 = 16;
 
 /// A request to a model.
 #[derive(Clone, Debug)]
 pub(crate) struct ModelRequest {
-    /// The model.
+    /// The name of the model.
     pub model: String,
-    /// The body for the upstream.
+    /// The body that is sent to the upstream.
     pub body: Bytes,
-    /// Whether the caller wants the usage in the stream.
+    /// Whether the caller asked for the usage in the stream.
     pub include_usage: bool,
-    /// The most tokens that the request can consume.
+    /// The maximum number of tokens that the request can consume.
     pub max_tokens: u64,
-    /// The most tokens that the prompt can count for.
+    /// The maximum number of tokens of the prompt.
     pub max_prompt_tokens: u64,
     /// The hash of the prompt's prefix.
     pub prefix: u64,
 }
 
 impl ModelRequest {
-    /// Reads a request's body.
+    /// Parses and validates the body of a request.
     pub(crate) fn read(body: &[u8], bundle: &Bundle) -> Result<ModelRequest, Refusal> {
         let mut fields: Map<String, Value> = serde_json::from_slice(body).map_err(|error| {
             Refusal::bad_request("parse", "invalid_json", format!("the body is not a JSON object: {error}"))
@@ -71,7 +71,8 @@
         if stream {
             fields.insert("stream_options".to_owned(), json!({"include_usage": true}));
         }
-        // A token stands for at least one byte of the body, so its length bounds the prompt.
+        // Each token stands for at least one byte of the body, so the body's length bounds the prompt's
+        // tokens.
         let max_prompt_tokens = body.len() as u64 + TEMPLATE_TOKENS;
         Ok(ModelRequest {
             model: name,
@@ -97,7 +98,7 @@
     }
 }
 
-/// The hash by which routers and engines name a prompt's prefix: that of its first bytes of text.
+/// The hash of a prompt's leading bytes, by which routers and engines identify its prefix.
 fn prefix_hash(fields: &Map<String, Value>) -> u64 {
     let mut text = String::new();
     if let Some(Value::Array(messages)) = fields.get("messages") {
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,4 +1,4 @@
-//! One router: its state, and the tasks that run on it.
+//! The state of a router, and its start and stop.
 
 use crate::clock::Clock;
 use crate::grants::Grants;
@@ -23,31 +23,32 @@
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Time for the balancer's and the peers' last calls after everything has ended, in milliseconds.
+/// The time left for the last calls of the load balancer and the peers after all work has ended, in
+/// milliseconds.
 const FINAL_CALLS_MS: u64 = 50;
-/// How often a stopping router looks whether its requests have ended, in milliseconds.
+/// The interval at which a stopping router checks whether its requests have ended, in milliseconds.
 const DRAIN_POLL_MS: u64 = 10;
 
-/// The bundle in force.
+/// The configuration bundle in force.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveBundle {
-    /// Its accepted sequence; 0 if there is none.
+    /// The accepted sequence number; 0 if no bundle is in force.
     pub sequence: u64,
-    /// The digest of its signed manifest.
+    /// The digest of the signed manifest.
     pub manifest: String,
-    /// The signed manifest and the sections by digest, for peers.
+    /// The signed manifest, the sections and the teams by digest, as served to peers.
     pub parts: HashMap<String, String>,
-    /// The teams by digest, so that unchanged ones are not read again.
+    /// The teams by digest, so that unchanged teams are not parsed again.
     pub teams: HashMap<String, Arc<Team>>,
-    /// What it says.
+    /// The parsed content.
     pub content: Bundle,
     /// The access keys by hash.
     pub keys: HashMap<String, Access>,
-    /// When it came into force, in milliseconds of the router's clock.
+    /// When the bundle came into force, in milliseconds of the router's clock.
     pub since: u64,
 }
 
-/// What an access key allows.
+/// The team and the budget of an access key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Access {
     pub team: String,
@@ -55,21 +56,21 @@
     pub budget: String,
 }
 
-/// Where a router is in its life.
+/// The phase of a router's life cycle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// It serves.
+    /// The router serves requests.
     Serving,
-    /// It is not ready any more, but still takes work until the balancer has noticed.
+    /// The router is no longer ready, but accepts requests until the load balancer has noticed.
     Leaving,
-    /// It takes no new work.
+    /// The router accepts no new requests.
     Draining,
 }
 
-/// One router.
+/// The state of a router, shared by its tasks.
 pub(crate) struct Node<W: Ports> {
     pub settings: Settings,
-    /// The VM with its incarnation.
+    /// The VM's name and its incarnation, as `name#incarnation`.
     pub holder: String,
     pub incarnation: u64,
     pub platform: W::Platform,
@@ -85,33 +86,33 @@
     pub account_keeping: AccountKeeping,
     pub metrics: Metrics,
     pub open_requests: AtomicU64,
-    /// Claims of this router whose requests were certainly not dispatched, by request.
+    /// The ids of requests whose claims this router holds and that were certainly not dispatched.
     pub undispatched_claims: Mutex<HashSet<String>>,
     bundle: RwLock<Arc<ActiveBundle>>,
     view: Mutex<FleetView>,
     phase: Mutex<Phase>,
     addresses: Mutex<Addresses>,
-    /// Held while a batch is on its way: batches of one account follow each other.
+    /// Held while a batch is being settled: the batches of one account must not overlap.
     pub settlement_lock: smol::lock::Mutex<()>,
     last_batch: AtomicU64,
     settle_now: Sender<()>,
     pub heartbeat_now: Sender<()>,
-    /// Asks for a look at the platform's list now.
+    /// Requests that the platform's VM list is read now.
     pub list_now: Sender<()>,
     platform_up: AtomicBool,
-    /// Whether the upstreams of a bundle were asked for their load once.
+    /// Whether the upstreams of a bundle were asked for their load at least once.
     pub has_read_loads: AtomicBool,
     stopped: AtomicBool,
 }
 
-/// The addresses bound.
+/// The addresses that a router is bound to.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For peers.
+    /// The address for peers.
     pub peers: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
 }
 
@@ -120,7 +121,7 @@
         self.bundle.read().expect("no thread panics while it holds the lock").clone()
     }
 
-    /// Puts a bundle in force, unless a later one is: never back to an older sequence.
+    /// Puts a bundle in force. Returns `false` if the current one has the same or a later sequence.
     pub(crate) fn activate_bundle(&self, next: ActiveBundle) -> bool {
         let mut current = self.bundle.write().expect("no thread panics while it holds the lock");
         if next.sequence <= current.sequence {
@@ -134,7 +135,7 @@
         true
     }
 
-    /// Computes this router's shares of the upstreams anew.
+    /// Recomputes this router's slots at the upstreams.
     pub(crate) fn reassign_slots(&self) {
         let bundle = self.bundle();
         self.schedule.configure(&bundle.content, &self.view(), &self.settings.name);
@@ -144,7 +145,7 @@
         self.view.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// How many routers draw on the budgets, this one included.
+    /// The number of routers that draw on the budgets, including this one.
     pub(crate) fn fleet_size(&self) -> u64 {
         self.view().router_names().len() as u64
     }
@@ -157,12 +158,12 @@
         *self.addresses.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// The number of the next batch in this router's account.
+    /// Returns the number of the next batch in this router's account.
     pub(crate) fn next_batch(&self) -> u64 {
         self.last_batch.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Asks for a settlement now.
+    /// Requests a settlement now.
     pub(crate) fn request_settlement(&self) {
         let _ = self.settle_now.try_send(());
     }
@@ -173,7 +174,7 @@
 
     pub(crate) fn set_platform_up(&self, up: bool) {
         if self.platform_up.swap(up, Ordering::Relaxed) != up {
-            log::info!("platform: {}", if up { "it answers again" } else { "it does not answer" });
+            log::info!("platform: {}", if up { "answers again" } else { "does not answer" });
         }
     }
 
@@ -185,18 +186,18 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Takes no new work any more: another router closed this one's account.
+    /// Stops accepting requests, because another router closed this router's account.
     pub(crate) fn stop_accepting(&self) {
         *self.phase.lock().expect("no thread panics while it holds the lock") = Phase::Draining;
     }
 
-    /// Notes what happened to a request.
+    /// Adds a step to a request's record.
     pub(crate) fn record_step(&self, request: &str, what: impl Into<String>) {
         let step = Step { at: self.clock.now(), what: what.into() };
         self.records.update(request, |record: &mut Record| record.steps.push(step));
     }
 
-    /// This router's heartbeat.
+    /// Returns this router's heartbeat.
     pub(crate) fn heartbeat(&self) -> Heartbeat {
         let bundle = self.bundle();
         let addresses = self.addresses();
@@ -213,7 +214,7 @@
         }
     }
 
-    /// The addresses of the peers that are thought to be alive.
+    /// The names and addresses of the peers that are considered alive.
     pub(crate) fn alive_peers(&self) -> Vec<(String, SocketAddr)> {
         let now = self.clock.now();
         let view = self.view();
@@ -227,7 +228,7 @@
     }
 }
 
-/// A router that has been started.
+/// A running router.
 #[derive(Debug)]
 pub struct Running<W: Ports> {
     node: Arc<Node<W>>,
@@ -235,10 +236,10 @@
     operators: Handle,
 }
 
-/// Starts a router on its ports.
+/// Starts a router with the given adapters.
 ///
 /// # Errors
-/// Fails if an address can't be bound.
+/// Returns an error if an address can't be bound or the settings hold no valid fleet key.
 pub async fn start<W: Ports>(
     settings: Settings,
     platform: W::Platform,
@@ -248,7 +249,7 @@
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64);
     let keys = settings.keys();
     let Some(key) = keys.first().cloned() else {
-        return Err(io::Error::other("no fleet key in the settings"));
+        return Err(io::Error::other("the settings contain no valid fleet key"));
     };
     let (settle_now, settle_requested) = async_channel::bounded(1);
     let (heartbeat_now, heartbeat_requested) = async_channel::bounded(1);
@@ -314,7 +315,7 @@
     exec::spawn(sync::run(node.clone(), settle_requested)).detach();
     let bound = node.addresses();
     log::info!(
-        "node: {} serves callers on {}, peers on {}, operators on {}",
+        "node: {} listens for callers on {}, peers on {}, operators on {}",
         node.holder,
         bound.callers,
         bound.peers,
@@ -324,22 +325,22 @@
 }
 
 impl<W: Ports> Running<W> {
-    /// The addresses bound.
+    /// The addresses that the router is bound to.
     pub fn addresses(&self) -> Addresses {
         self.node.addresses()
     }
 
-    /// Stops without cutting off a request: not ready at once, no new work after the balancer's delay, every
-    /// open answer finished, unused tokens given back.
+    /// Stops the router without aborting requests. It is not ready from the start, refuses new requests after
+    /// the load balancer's delay, completes open answers, and then returns its unused tokens.
     pub async fn stop(self) {
         let node = &self.node;
-        log::info!("node: stopping, not ready from now on");
+        log::info!("node: stopping; no longer ready");
         self.set_phase(Phase::Leaving);
         exec::sleep(millis(node.settings.limits.stop_delay_ms)).await;
         self.set_phase(Phase::Draining);
         let _ = node.heartbeat_now.try_send(());
         log::info!(
-            "node: takes no new work, {} requests are open",
+            "node: accepts no new requests; {} requests are open",
             node.open_requests.load(Ordering::Relaxed)
         );
         while node.open_requests.load(Ordering::Relaxed) > 0 {
@@ -353,7 +354,7 @@
         while sync::settle(node, node.clock.now(), 1, true).await {}
         exec::sleep(millis(FINAL_CALLS_MS)).await;
         self.operators.stop();
-        log::info!("node: stopped, every token is settled or given back");
+        log::info!("node: stopped; all tokens are settled or returned");
     }
 
     fn set_phase(&self, phase: Phase) {
--- a/crates/router/src/ports.rs
+++ b/crates/router/src/ports.rs
@@ -1,4 +1,4 @@
-//! The ports of a router, named together so that code which needs them all says so in one word.
+//! The set of a router's ports as one trait, so that generic code needs a single type parameter.
 //!
 //! ```
 //! #[derive(Debug)]
@@ -16,12 +16,12 @@
 use store::Services;
 use upstream::Engine;
 
-/// A choice of adapters.
+/// A set of adapters for the router's ports.
 pub trait Ports: Debug + 'static {
-    /// The clock.
+    /// The adapter for the clock.
     type Clock: Clock;
-    /// The upstreams.
+    /// The adapter for the upstreams.
     type Engine: Engine;
-    /// The platform's services.
+    /// The adapter for the platform's services.
     type Platform: Services;
 }
--- a/crates/router/src/record.rs
+++ b/crates/router/src/record.rs
@@ -1,38 +1,38 @@
-//! What happened to each recent request, for operators.
+//! Records of recent requests, for operators.
 
 use serde::Serialize;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Mutex;
 
-/// Shards of the records.
+/// The number of shards.
 const SHARDS: usize = 16;
 
-/// One thing that happened to a request.
+/// A step in the handling of a request.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Step {
-    /// Milliseconds of the router's clock.
+    /// When it happened, in milliseconds of the router's clock.
     pub at: u64,
     /// What happened.
     pub what: String,
 }
 
-/// What is known of a request.
+/// The record of a request.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Record {
-    /// The team and budget.
+    /// The budget as `team/budget`.
     pub budget: String,
-    /// The bundle sequence under which it runs.
+    /// The sequence of the bundle under which the request runs.
     pub bundle: u64,
-    /// Tokens charged.
+    /// The tokens charged.
     pub charge: Option<u64>,
-    /// How it ended.
+    /// The outcome: `complete` or the code of a refusal.
     pub outcome: Option<String>,
-    /// What happened, in order.
+    /// The steps, in order.
     pub steps: Vec<Step>,
 }
 
-/// The recent requests, in shards under their own locks.
+/// The records of recent requests, in shards with a lock each.
 #[derive(Debug)]
 pub(crate) struct Records {
     shards: Vec<Mutex<Shard>>,
@@ -46,13 +46,13 @@
 }
 
 impl Records {
-    /// Keeps about `most` requests.
-    pub(crate) fn new(shard_capacity: usize) -> Records {
+    /// Creates a store for about `capacity` records.
+    pub(crate) fn new(capacity: usize) -> Records {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
-        Records { shards, shard_capacity: shard_capacity.div_ceil(SHARDS) }
+        Records { shards, shard_capacity: capacity.div_ceil(SHARDS) }
     }
 
-    /// Begins a request's record.
+    /// Creates the record of a request, and drops the oldest one if the shard is full.
     pub(crate) fn begin(&self, request: &str, budget: &str, bundle: u64) {
         let mut shard = self.shard(request);
         let record = Record { budget: budget.to_owned(), bundle, charge: None, outcome: None, steps: vec![] };
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Changes a request's record.
+    /// Updates the record of a request, if it still exists.
     pub(crate) fn update(&self, request: &str, change: impl FnOnce(&mut Record)) {
         if let Some(record) = self.shard(request).records.get_mut(request) {
             change(record);
         }
     }
 
-    /// A request's record.
+    /// Returns the record of a request.
     pub(crate) fn find(&self, request: &str) -> Option<Record> {
         self.shard(request).records.get(request).cloned()
     }
--- a/crates/router/src/refusal.rs
+++ b/crates/router/src/refusal.rs
@@ -1,19 +1,19 @@
-//! Answers that say no: a stable code, the step, and whether the request was executed.
+//! Refusals: error answers with a stable code, the step that failed, and whether the request was executed.
 
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
 use net::Body;
 use serde_json::json;
 
-/// Whether a refused request was executed on an upstream; of several attempts the greatest counts.
+/// Whether a refused request was executed on an upstream. Of several attempts, the greatest value counts.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Execution {
-    /// It certainly was not, and will not be.
+    /// The request certainly was not executed and will not be.
     #[default]
     NotRun,
-    /// It may have been.
+    /// The request may have been executed.
     Unknown,
-    /// It was, at least in part.
+    /// The request was executed, at least in part.
     Ran,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Why a request gets no answer.
+/// The reason why a request is refused.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{step}: {code}: {message}")]
 pub(crate) struct Refusal {
@@ -39,18 +39,18 @@
     pub status: StatusCode,
     /// The stable code.
     pub code: &'static str,
-    /// The step at which the request ended.
+    /// The step that refused the request.
     pub step: &'static str,
-    /// Whether it was executed.
+    /// Whether the request was executed.
     pub execution: Execution,
-    /// What happened and what to do.
+    /// The cause and the remedy, for the caller.
     pub message: String,
-    /// When asking again may help, in milliseconds.
+    /// The time after which a retry may succeed, in milliseconds.
     pub retry_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A request that was certainly not executed.
+    /// Creates the refusal of a request that was certainly not executed.
     pub(crate) fn not_run(
         status: StatusCode,
         code: &'static str,
@@ -60,33 +60,33 @@
         Refusal { status, code, step, execution: Execution::NotRun, message, retry_ms: None }
     }
 
-    /// A request that can't be understood.
+    /// Creates the refusal of an invalid request.
     pub(crate) fn bad_request(step: &'static str, code: &'static str, message: impl Into<String>) -> Refusal {
         Refusal::not_run(StatusCode::BAD_REQUEST, code, step, message.into())
     }
 
-    /// Says when asking again may help.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub(crate) fn retry_after(mut self, millis: u64) -> Refusal {
         self.retry_ms = Some(millis);
         self
     }
 
-    /// Changes the verdict on execution.
+    /// Sets whether the request was executed.
     #[must_use]
     pub(crate) fn execution(mut self, execution: Execution) -> Refusal {
         self.execution = execution;
         self
     }
 
-    /// Takes an earlier attempt into the verdict on execution.
+    /// Raises the execution to at least that of an earlier attempt.
     #[must_use]
     pub(crate) fn at_least(mut self, earlier: Execution) -> Refusal {
         self.execution = self.execution.max(earlier);
         self
     }
 
-    /// The body, shaped as OpenAI's errors are.
+    /// Returns the body, in the format of OpenAI's errors.
     pub(crate) fn json(&self, request: &str) -> String {
         json!({"error": {
             "message": self.message,
@@ -100,7 +100,7 @@
         .to_string()
     }
 
-    /// The whole answer.
+    /// Returns the whole response.
     pub(crate) fn response(&self, request: &str) -> Response<Body> {
         let mut response = Response::new(Body::from(self.json(request)));
         *response.status_mut() = self.status;
--- a/crates/router/src/reserve.rs
+++ b/crates/router/src/reserve.rs
@@ -1,4 +1,4 @@
-//! Getting the tokens for a request: from this router's grant, from the pool, or from peers (I6).
+//! Reserving the tokens for a request: from this router's grant, the pool, or peers (I6).
 
 use crate::clock::Clock;
 use crate::grants::{self, Availability};
@@ -14,20 +14,20 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// How long a settlement or a release is waited for before peers are asked, in milliseconds.
+/// How long to wait for a settlement or a release before peers are asked, in milliseconds.
 const CHANGE_WAIT_MS: u64 = 150;
-/// Peers that are asked for one request.
+/// The maximum number of peers that are asked in turn.
 const MAX_LENDERS: usize = 8;
-/// How often a loan with a lost answer is asked for again.
+/// The number of attempts to learn the result of a loan whose answer was lost.
 const LOAN_ATTEMPTS: u32 = 120;
 /// The pause between those attempts, in milliseconds.
 const LOAN_PAUSE_MS: u64 = 500;
-/// When a caller should come back while the platform is away, in milliseconds.
+/// The `Retry-After` time while the platform is unavailable, in milliseconds.
 const OUTAGE_RETRY_MS: u64 = 5_000;
-/// When a caller should come back while others use the tokens, in milliseconds.
+/// The `Retry-After` time while other requests use the tokens, in milliseconds.
 const BUSY_RETRY_MS: u64 = 1_000;
 
-/// Reserves `tokens` of `budget`, waiting for them if they are on their way.
+/// Reserves `tokens` of `budget`, and waits for them as long as the bundle's budget wait time allows.
 pub(crate) async fn reserve<W: Ports>(node: &Arc<Node<W>>, budget: &str, tokens: u64) -> Result<(), Refusal> {
     let begin = node.clock.now();
     let deadline = begin + node.bundle().content.limits.budget_wait_ms;
@@ -39,7 +39,7 @@
         let Err(shortage) = node.grants.reserve(budget, tokens, node.clock.now()) else { return Ok(()) };
         let missing = shortage.missing;
         if missing == 0 {
-            // The tokens are here, but the platform is slow to take in that they are used.
+            // The grant has the tokens, but the platform has not yet recorded them as exposed.
             if node.account_keeping.request_promises(node).await || may_exceed_exposure(node, budget) {
                 node.grants.lift_exposure_limit(budget);
             } else if node.clock.now() >= deadline {
@@ -63,13 +63,16 @@
     }
 }
 
-/// Whether a router that reaches neither the platform nor its keeper may use all it holds: where refusals weigh
-/// more. Then the platform's list is trusted not to drop a VM that lives.
+/// Whether the router may use its whole grant although neither the platform nor its keeper answers. This is
+/// allowed for budgets for which refusals weigh more than overspending. It relies on the platform's list not
+/// dropping a VM that still runs.
 fn may_exceed_exposure<W: Ports>(node: &Node<W>, budget: &str) -> bool {
     let allowed =
         !node.is_platform_up() && grants::weighing(&node.bundle().content, budget) == Weighing::Refusals;
     if allowed {
-        log::warn!("budget: {budget} is used beyond what was exposed; neither platform nor keeper answers");
+        log::warn!(
+            "budget: {budget} is used beyond its exposed amount: neither the platform nor the keeper answers"
+        );
     }
     allowed
 }
@@ -90,7 +93,7 @@
         .retry_after(OUTAGE_RETRY_MS)
 }
 
-/// Asks peers for tokens that they don't use; returns what came.
+/// Borrows unused tokens from peers. Returns the number received.
 async fn borrow<W: Ports>(node: &Arc<Node<W>>, budget: &str, missing: u64) -> u64 {
     let mut got = 0;
     for (name, address) in node.alive_peers().into_iter().take(MAX_LENDERS) {
@@ -109,7 +112,8 @@
                 }
                 got += tokens;
             }
-            // The answer may be lost while the tokens were taken out: ask again with the same id.
+            // The lender may have deducted the tokens although its answer was lost: ask again with the same
+            // id.
             None => exec::spawn(retry_loan(node.clone(), name, address, ask)).detach(),
         }
     }
@@ -136,12 +140,16 @@
     match answer {
         Some(0) => {}
         Some(tokens) => receive_loan(&node, &name, &ask, tokens),
-        None => log::warn!("budget: loan {} of {} from {name} was never answered", ask.id, ask.budget),
+        None => log::warn!(
+            "budget: loan {} of {} from {name} got no answer after all attempts",
+            ask.id,
+            ask.budget
+        ),
     }
 }
 
 fn receive_loan<W: Ports>(node: &Node<W>, name: &str, ask: &BorrowRequest, tokens: u64) {
     node.grants.receive(&ask.budget, tokens);
     node.metrics.borrowed.inc_by(tokens);
-    log::info!("budget: borrowed {tokens} tokens of {} from {name} under {}", ask.budget, ask.id);
+    log::info!("budget: borrowed {tokens} tokens of {} from {name} for loan {}", ask.budget, ask.id);
 }
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Waiting for an upstream: the board and the lines of one router, and who goes next.
+//! The scheduler of a router: the state of its upstreams, and the queue of requests that wait for a slot.
 
 use crate::clock::Clock;
 use crate::refusal::Refusal;
@@ -13,9 +13,9 @@
 use std::time::Duration;
 use upstream::Load;
 
-/// How long a new router lets the upstreams' reports limit it, in milliseconds.
+/// How long after its start a router lets the upstreams' load reports limit it, in milliseconds.
 const WARM_UP_MS: u64 = 30_000;
-/// The shortest time after which a refused caller should come back, in milliseconds.
+/// The shortest `Retry-After` time, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 500;
 
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     owners: BTreeMap<String, Vec<String>>,
 }
 
-/// The upstreams and the requests that wait for them.
+/// The upstreams of this router and the requests that wait for them.
 #[derive(Debug)]
 pub(crate) struct Schedule<C> {
     clock: C,
@@ -50,7 +50,7 @@
         self.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Takes in a bundle and the routers that share the upstreams.
+    /// Applies a bundle and the list of routers, which together determine this router's slots.
     pub(crate) fn configure(&self, bundle: &Bundle, view: &FleetView, own_name: &str) {
         let routers = view.router_names();
         let upstreams: Vec<(&str, u32)> =
@@ -83,7 +83,7 @@
         self.dispatch_waiting(&mut state);
     }
 
-    /// Takes in an upstream's load report.
+    /// Records an upstream's load report.
     pub(crate) fn record_report(&self, name: &str, load: &Load) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -99,38 +99,38 @@
         self.dispatch_waiting(&mut state);
     }
 
-    /// Marks an upstream as leaving or staying.
+    /// Marks an upstream as leaving or not. Returns whether this changed its state.
     pub(crate) fn set_leaving(&self, name: &str, leaving: bool) -> bool {
         self.lock().dispatcher.board.leave(name, leaving)
     }
 
-    /// Takes in that a peer knows an upstream to be leaving.
+    /// Records a peer's hint that an upstream is leaving. Returns whether this changed its state.
     pub(crate) fn record_leaving_hint(&self, name: &str) -> bool {
         let now = self.clock.now();
         self.lock().dispatcher.board.hear_leaving(name, now)
     }
 
-    /// The upstreams that this router itself found to be leaving.
+    /// The upstreams that this router itself, not only a peer, found to be leaving.
     pub(crate) fn leaving(&self) -> Vec<String> {
         self.lock().dispatcher.board.leaving().map(ToOwned::to_owned).collect()
     }
 
-    /// The upstreams as operators see them.
+    /// The state of the upstreams, for operators.
     pub(crate) fn upstream_statuses(&self) -> BTreeMap<String, route::View> {
         self.lock().dispatcher.board.view(self.clock.now())
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub(crate) fn waiting(&self) -> usize {
         self.lock().dispatcher.waiting()
     }
 
-    /// Notes a request that earns a share of a retry.
+    /// Records a request, which earns a fraction of a retry.
     pub(crate) fn earn_retry(&self) {
         self.lock().retries.deposit();
     }
 
-    /// Takes a retry, if one was earned.
+    /// Uses up a retry. Returns `false` if none has been earned.
     pub(crate) fn take_retry(&self) -> bool {
         self.lock().retries.withdraw()
     }
@@ -140,10 +140,10 @@
         self.lock().dispatcher.board.serves(model)
     }
 
-    /// Waits for an upstream; its slot is taken until [`Schedule::end`].
+    /// Waits for an upstream. Its slot is occupied until [`Schedule::release`].
     pub(crate) async fn wait_for_upstream(&self, want: &Want<'_>) -> Result<Choice, Refusal> {
         let (chosen, choice) = async_channel::bounded(1);
-        // A displaced request learns it because its sender is dropped.
+        // Dropping the sender of a displaced request ends its wait.
         let (entered, _displaced) = self.lock().dispatcher.enter(want, chosen, self.clock.now());
         let number = match entered {
             Entered::Chosen(choice) => return Ok(choice),
@@ -166,7 +166,7 @@
         }
     }
 
-    /// The upstream that all routers prefer for a prefix, and the routers that own it.
+    /// The upstream that all routers prefer for a prefix, and the routers that own slots of it.
     pub(crate) fn home_upstream(
         &self,
         bundle: &Bundle,
@@ -186,36 +186,36 @@
         Some((home.to_owned(), owners))
     }
 
-    /// The routers that own an upstream.
+    /// The routers that own slots of an upstream.
     pub(crate) fn owners(&self, upstream: &str) -> Vec<String> {
         self.lock().owners.get(upstream).cloned().unwrap_or_default()
     }
 
-    /// Takes a slot of one upstream for a peer's request, if it is free.
+    /// Takes a slot of the upstream `at` for a peer's request, if one is free.
     pub(crate) fn try_take_slot(&self, want: &Want<'_>, at: &str) -> Option<String> {
         let now = self.clock.now();
         self.lock().dispatcher.lend(want, Some(at), now)
     }
 
-    /// Gives back a slot and lets the next request go.
+    /// Releases a slot and dispatches waiting requests.
     pub(crate) fn release(&self, name: &str) {
         let mut state = self.lock();
         state.dispatcher.board.end(name);
         self.dispatch_waiting(&mut state);
     }
 
-    /// Notes that a run went well.
+    /// Records a successful run; `gap` is the mean time between its tokens in milliseconds.
     pub(crate) fn record_success(&self, name: &str, gap: Option<f64>) {
         self.lock().dispatcher.board.succeed(name, gap);
     }
 
-    /// Notes that a run failed; `true` if the upstream is ejected for it.
+    /// Records a failed run. Returns whether the upstream was ejected because of it.
     pub(crate) fn record_failure(&self, name: &str) -> bool {
         let now = self.clock.now();
         self.lock().dispatcher.board.fail(name, now)
     }
 
-    /// Sends waiting requests off while upstreams are free.
+    /// Dispatches waiting requests while slots are free.
     fn dispatch_waiting(&self, state: &mut State) {
         let dispatched = state.dispatcher.advance(self.clock.now(), Sender::is_closed);
         for (chosen, choice) in dispatched {
@@ -227,7 +227,8 @@
     }
 }
 
-/// Takes a request out of the line when it no longer waits, and gives back a choice that nobody took.
+/// Removes a request from the queue when it stops waiting, and releases a slot that it was given but did not
+/// use.
 struct QueuedRequest<'a, C: Clock> {
     schedule: &'a Schedule<C>,
     model: &'a str,
@@ -238,7 +239,7 @@
 impl<C: Clock> Drop for QueuedRequest<'_, C> {
     fn drop(&mut self) {
         let mut state = self.schedule.lock();
-        // Whether it got a slot here or at a peer, the line moved on by one.
+        // The queue moved on by one, whether the request got a slot here or from a peer.
         state.dispatcher.served(self.model, self.number, self.schedule.clock.now());
         if let Ok(choice) = self.choice.try_recv() {
             state.dispatcher.board.end(&choice.upstream);
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -1,8 +1,9 @@
-//! Requests to the plain services beside the engines.
+//! Calls to plain services.
 //!
-//! A call without an idempotency key is streamed both ways and never repeated once a server may have seen
-//! it, unless its route is repeatable and its body short. A call with a key is answered through a flight, as
-//! a model request is.
+//! A call without an idempotency key is retried on another server only if no server can have seen it, or if
+//! its route is repeatable and its body is short enough to be buffered. Longer and chunked bodies are
+//! streamed, and such calls are sent once. A call with a key is answered through a shared answer, as a model
+//! request is.
 
 use crate::claims::{self, ClaimOutcome};
 use crate::forward;
@@ -26,9 +27,9 @@
 use upstream::{Engine, Fault};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bodies up to this many bytes are kept, so that the call can be tried at another server.
+/// The largest body in bytes that is buffered, so that the call can be retried on another server.
 const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
-/// When a caller should come back after every server failed, in milliseconds.
+/// The `Retry-After` time after all servers failed, in milliseconds.
 const FAILED_RETRY_MS: u64 = 1_000;
 
 /// Answers a call to a service.
@@ -62,12 +63,12 @@
     result.map(|answer| forward::relay(answer, std::future::pending()))
 }
 
-/// What a call is for.
+/// The service and the path of a call.
 #[derive(Clone, Debug)]
 struct Target {
     name: String,
     service: Service,
-    /// The path and query that the server gets.
+    /// The path and query that are sent to the server.
     path: String,
     repeatable: bool,
 }
@@ -86,7 +87,7 @@
         Ok(Target { name: name.to_owned(), service, path: path + &query, repeatable })
     }
 
-    /// The servers, in an order that differs between requests.
+    /// The servers, rotated by a hash of the request's id to distribute the load.
     fn addresses(&self, request: &str) -> Vec<SocketAddr> {
         let mut addresses = self.service.addresses.clone();
         let first = xxh3_64(request.as_bytes()) as usize % addresses.len().max(1);
@@ -127,7 +128,7 @@
     }
 }
 
-/// Charges a call that was or may have been executed; gives its tokens back if it certainly was not.
+/// Charges a call that was or may have been executed; releases its tokens if it certainly was not.
 fn charge_or_release<W: Ports>(
     node: &Node<W>,
     admitted: &AdmittedRequest,
@@ -147,7 +148,7 @@
     node.records.update(&admitted.id, |record| record.charge = Some(tokens));
 }
 
-/// Calls one server after the other, as long as trying again is safe.
+/// Calls the servers in turn until one answers, as long as a retry is safe.
 async fn call_servers<W: Ports>(
     node: &Node<W>,
     admitted: &AdmittedRequest,
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! The router's settings, read from YAML and checked as a whole.
+//! The router's settings, read from YAML and validated; all mistakes are reported at once.
 //!
 //! ```
 //! let mistakes = router::Settings::read("name: vm-1\n").unwrap_err();
@@ -11,47 +11,47 @@
 use std::time::Duration;
 use yaml::{Mistake, Reader};
 
-/// The keys of the settings.
+/// The top-level keys.
 const KEYS: &str = "name, data-centre, listen, platform, seeds, fleet-keys, trust, limits";
-/// Hex digits of a public key.
+/// The number of hex digits of a public key.
 const KEY_DIGITS: usize = 64;
 
-/// Everything a router learns from its settings.
+/// The settings of a router.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
     /// The name of this VM, unique in the fleet.
     pub name: String,
-    /// Its data centre.
+    /// The data centre of this VM.
     pub data_centre: String,
-    /// Where it listens.
+    /// The addresses to listen on.
     pub listen: Listen,
-    /// The platform's services.
+    /// How the platform's services are reached.
     pub platform: Platform,
-    /// Peers to ask while the platform is away at the start.
+    /// Peers to contact at the start, in case the platform is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Secrets shared by the routers; the first is used, all are accepted.
+    /// Secrets shared by the routers. The first one is used for outgoing connections; all are accepted.
     pub fleet_keys: Vec<String>,
-    /// Who may sign bundles.
+    /// The keys that may sign bundles.
     pub trust: Trust,
-    /// What bounds this process.
+    /// The limits and intervals of this process.
     pub limits: Limits,
 }
 
-/// Where a router listens.
+/// The addresses on which a router listens.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Listen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For other routers.
+    /// The address for other routers.
     pub peers: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// Where peers reach this VM, if it is not where it listens for them.
+    /// The address at which peers reach this VM, if it differs from the one it listens on.
     #[serde(default)]
     pub advertise_peers: Option<SocketAddr>,
-    /// Where peers pass callers' requests on to, if it is not where this VM listens for callers.
+    /// The address to which peers forward callers' requests, if it differs from the one this VM listens on.
     #[serde(default)]
     pub advertise_callers: Option<SocketAddr>,
 }
@@ -60,56 +60,56 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Platform {
-    /// Its address.
+    /// The platform's address.
     pub address: SocketAddr,
-    /// When a call is given up, in milliseconds.
+    /// The time-out of a call, in milliseconds.
     #[serde(default = "second")]
     pub timeout_ms: u64,
 }
 
-/// Who may sign bundles.
+/// The keys that may sign bundles.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Trust {
-    /// Public keys in hex.
+    /// The public keys in hex.
     pub keys: Vec<String>,
-    /// How many of them must have signed.
+    /// The number of keys that must have signed a bundle.
     pub needed: usize,
 }
 
-/// What bounds a router process; all times in milliseconds.
+/// Limits and intervals of a router process; all times are in milliseconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Limits {
-    /// Worker threads.
+    /// The number of worker threads.
     pub threads: usize,
-    /// Caller connections open at once.
+    /// The maximum number of open caller connections.
     pub connections: usize,
-    /// Time for a request's head to arrive.
+    /// The time-out for receiving a request's head.
     pub head_ms: u64,
-    /// Time for a request's body to arrive.
+    /// The time-out for receiving a request's body.
     pub body_ms: u64,
-    /// Time for an upstream to begin its answer.
+    /// The time-out for the start of an upstream's answer.
     pub start_ms: u64,
-    /// Time between two events of a stream.
+    /// The longest time between two events of a stream.
     pub stall_ms: u64,
-    /// Time for any other call to an upstream.
+    /// The time-out of any other call to an upstream.
     pub call_ms: u64,
-    /// Time for a call to a peer.
+    /// The time-out of a call to a peer.
     pub peer_ms: u64,
-    /// Time between two settlements with the platform.
+    /// The interval between settlements with the platform.
     pub sync_ms: u64,
-    /// Time between two looks at the platform's bundle and VM list.
+    /// The interval at which the platform's bundle head and VM list are read.
     pub poll_ms: u64,
-    /// Time between two heartbeats.
+    /// The interval between heartbeats.
     pub beat_ms: u64,
-    /// Time between two looks at an upstream's load.
+    /// The interval at which the load of each upstream is read.
     pub load_ms: u64,
-    /// How long new work is still taken after a request to stop, until the balancer has noticed.
+    /// How long a stopping router still accepts requests, until the load balancer has noticed.
     pub stop_delay_ms: u64,
-    /// How long the answer to a request with an idempotency key is kept in memory.
+    /// How long the answer to a request with an idempotency key stays in memory.
     pub answer_ms: u64,
-    /// Requests explained on the operators' listener.
+    /// The number of recent requests whose records operators can read.
     pub records: usize,
 }
 
@@ -136,10 +136,10 @@
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Returns every mistake, in the order of the lines.
+    /// Returns all mistakes, in the order of the lines.
     pub fn read(text: &str) -> Result<Settings, Vec<Mistake>> {
         let built = yaml::read(text, |reader, mut root| {
             let name = reader.need(&mut root, "name");
@@ -167,7 +167,6 @@
         built.ok_or_else(Vec::new)
     }
 
-    /// The fleet keys.
     pub(crate) fn keys(&self) -> Vec<FleetKey> {
         self.fleet_keys.iter().filter_map(|key| FleetKey::new(key).ok()).collect()
     }
@@ -219,7 +218,7 @@
     }
 }
 
-/// A setting in milliseconds as a duration.
+/// Converts a setting in milliseconds to a duration.
 pub(crate) fn millis(value: u64) -> Duration {
     Duration::from_millis(value)
 }
--- a/crates/router/src/shared_answer.rs
+++ b/crates/router/src/shared_answer.rs
@@ -1,7 +1,7 @@
-//! Answers that more than one caller may want: requests with an idempotency key.
+//! Answers that several callers may share because they sent the same idempotency key.
 //!
-//! The run writes its answer here; each caller that sends the same key follows it from the start, whether
-//! the run goes on or has ended.
+//! The run of a request writes its answer to a [`SharedAnswer`]. Each caller that sends the same key receives
+//! the answer from the start, whether the run is in progress or has ended.
 
 use crate::refusal::{Execution, Refusal};
 use budget::claim::Answer;
@@ -16,18 +16,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Shards of the table of flights.
+/// The number of shards of the table.
 const SHARDS: usize = 16;
 
-/// The content type of answers that name none.
+/// The content type of answers that specify none.
 const JSON: &str = "application/json";
 
 /// How an answer ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum End {
-    /// Whole.
+    /// The answer is complete.
     Complete,
-    /// Broken off; the body is aborted.
+    /// The answer ended early, for this reason. The body is aborted.
     Broken(String),
 }
 
@@ -38,9 +38,9 @@
     pub status: StatusCode,
     /// The content type.
     pub media: String,
-    /// Whether the request was executed, for answers that say no.
+    /// Whether the request was executed; set for refusals.
     pub execution: Option<&'static str>,
-    /// When asking again may help, in seconds.
+    /// The `Retry-After` header.
     pub retry_after: Option<HeaderValue>,
 }
 
@@ -52,14 +52,14 @@
     followers: usize,
 }
 
-/// One answer, as it comes.
+/// An answer that is written by one run and read by any number of callers.
 #[derive(Debug)]
 pub(crate) struct SharedAnswer {
-    /// The request.
+    /// The id of the request that started the run.
     pub request: String,
-    /// The hash of the request's body: another body under the same key is a mistake.
+    /// The hash of the request's body. A different body under the same key is refused.
     pub body: u64,
-    /// Whether the answer is kept for a later caller although nobody follows it.
+    /// Whether the answer is kept for later callers when nobody follows it.
     pub is_kept: bool,
     is_from_peer: AtomicBool,
     state: Mutex<State>,
@@ -79,25 +79,25 @@
         })
     }
 
-    /// Writes the head of the answer.
+    /// Sets the head of the answer.
     pub(crate) fn begin(&self, head: Head) {
         self.lock().head = Some(head);
         self.changed.notify(usize::MAX);
     }
 
-    /// Writes a part of the body.
+    /// Appends to the body.
     pub(crate) fn write(&self, bytes: impl Into<Bytes>) {
         self.lock().chunks.push(bytes.into());
         self.changed.notify(usize::MAX);
     }
 
-    /// Ends the answer.
+    /// Ends the answer; the first end counts.
     pub(crate) fn end(&self, end: End) {
         self.lock().end.get_or_insert(end);
         self.changed.notify(usize::MAX);
     }
 
-    /// Ends the answer with a refusal, unless it has begun.
+    /// Ends the answer with a refusal. If the head has been written, the body is aborted instead.
     pub(crate) fn refuse(&self, refusal: &Refusal, request: &str) {
         if self.lock().head.is_some() {
             return self.end(End::Broken(refusal.code.to_owned()));
@@ -113,7 +113,7 @@
         self.end(End::Complete);
     }
 
-    /// Gives a recorded answer again.
+    /// Writes a recorded answer.
     pub(crate) fn replay(&self, answer: &Answer) {
         self.begin(Head {
             status: StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK),
@@ -125,7 +125,7 @@
         self.end(End::Complete);
     }
 
-    /// Copies an answer as it comes; if it breaks off, so does the copy.
+    /// Copies a response as it arrives. If its body is aborted, so is the copy.
     pub(crate) async fn copy_from<B>(&self, answer: Response<B>)
     where
         B: http_body::Body<Data = Bytes> + Unpin,
@@ -150,12 +150,12 @@
         self.end(End::Complete);
     }
 
-    /// Whether the answer comes, or may come, from another router.
+    /// Whether the answer comes or may come from another router.
     pub(crate) fn is_from_peer(&self) -> bool {
         self.is_from_peer.load(Ordering::Relaxed)
     }
 
-    /// Notes whether the answer comes from another router.
+    /// Sets whether the answer comes or may come from another router.
     pub(crate) fn set_from_peer(&self, is_from_peer: bool) {
         self.is_from_peer.store(is_from_peer, Ordering::Relaxed);
     }
@@ -165,12 +165,12 @@
         self.lock().end.is_some()
     }
 
-    /// Whether nobody wants the answer any more.
+    /// Whether nobody follows the answer and it need not be kept.
     pub(crate) fn is_abandoned(&self) -> bool {
         !self.is_kept && self.lock().followers == 0
     }
 
-    /// Waits until nobody wants the answer any more; for ever if it is kept.
+    /// Waits until the answer is abandoned. Never returns for an answer that is kept.
     pub(crate) async fn abandoned(&self) {
         loop {
             let listener = self.changed.listen();
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The status and the whole body, once the answer has ended well.
+    /// The head and the whole body, if the answer is complete.
     pub(crate) fn complete(&self) -> Option<(Head, Vec<u8>)> {
         let state = self.lock();
         let is_complete = state.end == Some(End::Complete);
@@ -189,9 +189,9 @@
         Some((head, state.chunks.concat()))
     }
 
-    /// Answers a caller from the start of the answer on.
+    /// Responds to a caller with the answer from its start.
     ///
-    /// The caller counts as a follower from this call on, not only once the future is polled.
+    /// The caller counts as a follower from this call on, even before the future is polled.
     pub(crate) fn follow(self: Arc<Self>) -> impl Future<Output = Response<Body>> + Send {
         let follower = Follower::new(self.clone());
         async move {
@@ -239,7 +239,7 @@
     response
 }
 
-/// Counts a caller for as long as it follows.
+/// Counts a caller as a follower until it is dropped.
 struct Follower(Arc<SharedAnswer>);
 
 impl Follower {
@@ -265,7 +265,7 @@
             let mut state = answer.lock();
             let new_chunks: Vec<Bytes> = state.chunks.get(next..).unwrap_or_default().to_vec();
             if !answer.is_kept {
-                // Nobody else reads these, so they need not be kept.
+                // Only this caller reads the chunks, so they can be dropped.
                 state.chunks.clear();
                 next = 0;
             } else {
@@ -289,7 +289,7 @@
     }
 }
 
-/// The flights of requests with a key, in shards under their own locks.
+/// The answers to requests with an idempotency key, in shards with a lock each.
 #[derive(Debug)]
 pub(crate) struct SharedAnswers {
     shards: Vec<Mutex<HashMap<String, TableEntry>>>,
@@ -302,24 +302,24 @@
     since: u64,
 }
 
-/// What the table of flights says of a key.
+/// The result of looking up a key.
 #[derive(Debug)]
 pub(crate) enum Lookup {
-    /// The request is new; it is entered now.
+    /// The key is new, and the answer was inserted.
     New,
-    /// The same request was entered before.
+    /// The same request was sent before; this is its answer.
     Same(Arc<SharedAnswer>),
-    /// Another request has this key.
+    /// A different request has this key.
     Mismatch,
 }
 
 impl SharedAnswers {
-    /// Keeps answers for `kept_ms` milliseconds.
+    /// Creates a table that keeps answers for `retention_ms` milliseconds.
     pub(crate) fn new(retention_ms: u64) -> SharedAnswers {
         SharedAnswers { shards: (0..SHARDS).map(|_| Mutex::default()).collect(), retention_ms }
     }
 
-    /// Finds the flight of `key`, or enters `flight`.
+    /// Finds the answer for `key`, or inserts `answer`.
     pub(crate) fn find_or_insert(&self, key: &str, answer: &Arc<SharedAnswer>, now: u64) -> Lookup {
         let mut shard = self.shard(key);
         shard.retain(|_, entry| {
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Forgets a flight, so that the key may be tried again.
+    /// Removes an answer, so that a request with the key can be run again.
     pub(crate) fn remove(&self, key: &str) {
         self.shard(key).remove(key);
     }
--- a/crates/router/src/slot.rs
+++ b/crates/router/src/slot.rs
@@ -1,9 +1,9 @@
-//! Slots of upstreams, this router's own and those that peers lend.
+//! Slots of upstreams, both this router's own and those that peers lend.
 //!
-//! A request waits at its own router and, if it has to wait, at the owners of its prefix's preferred upstream
-//! and at one more peer; the first slot that becomes free is taken and the other requests are withdrawn. A
-//! lender counts a lent slot as taken until it is given back, so the limit of an upstream holds whatever is
-//! lost on the way.
+//! A request waits at its own router and, if no slot is free there, also at the owners of its prefix's
+//! preferred upstream and at one random peer. It takes the first slot that becomes free and withdraws from
+//! the other queues. A lender counts a lent slot as occupied until it is returned, so lost messages can't
+//! make an upstream exceed its limit.
 
 use crate::clock::Clock;
 use crate::front::AdmittedRequest;
@@ -26,40 +26,41 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use uuid::Uuid;
 
-/// Bytes of a request from which a slot at the prefix's preferred upstream is worth a message to its owner.
-const MIN_HOME_PROMPT_BYTES: u64 = 1_024;
-/// The pause before other peers are asked, after all that were asked have declined, in milliseconds.
+/// The length of a request's body in bytes from which a slot at the prefix's preferred upstream is worth a
+/// message to its owners.
+const MIN_HOME_REQUEST_BYTES: u64 = 1_024;
+/// The pause before peers are asked again after all have declined, in milliseconds.
 const PEERS_RETRY_MS: u64 = 250;
-/// Ended loans that are remembered, so that a late request takes nothing.
+/// The number of ended loans that are remembered, so that a delayed request takes no slot.
 const MAX_ENDED_LOANS: usize = 10_000;
-/// How often a slot is given back until the lender has answered, and the pause between, in milliseconds.
+/// The number of attempts to return a slot, and the pause between them in milliseconds.
 const RETURN_ATTEMPTS: u32 = 40;
 const RETURN_PAUSE_MS: u64 = 250;
 
-/// A taken slot.
+/// An occupied slot.
 #[derive(Debug)]
 pub(crate) struct Slot {
-    /// The upstream.
+    /// The upstream that the slot belongs to.
     pub upstream: String,
     loan: Option<BorrowedSlot>,
     failed: AtomicBool,
 }
 
 impl Slot {
-    /// Notes that the upstream failed the run.
+    /// Records that the run failed at the upstream.
     pub(crate) fn mark_failed(&self) {
         self.failed.store(true, Ordering::Relaxed);
     }
 }
 
-/// A request for a slot at a peer.
+/// A slot that was requested from a peer.
 #[derive(Clone, Debug)]
 struct BorrowedSlot {
     id: String,
     lender: SocketAddr,
 }
 
-/// Gets a slot for a request.
+/// Acquires a slot for a request, from this router or a peer.
 pub(crate) async fn acquire<W: Ports>(
     node: &Arc<Node<W>>,
     admitted: &AdmittedRequest,
@@ -70,7 +71,7 @@
     let (home, owners) = home.unwrap_or_default();
     let is_mine = owners.contains(&node.settings.name);
     let owners = addresses(node, &owners);
-    if ask.max_prompt_tokens >= MIN_HOME_PROMPT_BYTES && !is_mine && !want.avoid.contains(&home) {
+    if ask.max_prompt_tokens >= MIN_HOME_REQUEST_BYTES && !is_mine && !want.avoid.contains(&home) {
         for lender in &owners {
             if let Some(taken) = request_from_peer(node, *lender, want, Some(&home)).await {
                 return Ok(taken);
@@ -79,7 +80,7 @@
     }
     let own = async {
         if !owners.is_empty() && !node.schedule.serves(want.model) {
-            // With fewer upstreams than routers some own none, and live on what the owners lend.
+            // With fewer upstreams than routers, some routers own no slots and depend on borrowed ones.
             exec::sleep(millis(want.deadline.saturating_sub(node.clock.now()))).await;
         }
         let choice = node.schedule.wait_for_upstream(want).await?;
@@ -91,15 +92,15 @@
             if let Some(taken) = request_from_peers(node, &owners, want).await {
                 return Ok(taken);
             }
-            // None of them can serve it now; its own router still has it in line.
+            // No peer can serve the request now; it still waits at this router.
             exec::sleep(millis(PEERS_RETRY_MS)).await;
         }
     };
-    // The first is polled first: peers are only asked if the request has to wait here.
+    // `own` is polled first: peers are asked only if the request has to wait here.
     smol::future::or(own, lent).await
 }
 
-/// The addresses of those of `names` that are thought to be alive.
+/// The addresses of the routers in `names` that are considered alive.
 fn addresses<W: Ports>(node: &Node<W>, names: &[String]) -> Vec<SocketAddr> {
     let alive = node.alive_peers();
     alive.into_iter().filter(|(name, _)| names.contains(name)).map(|(_, address)| address).collect()
@@ -147,7 +148,7 @@
         wait_ms,
         at: at.map(ToOwned::to_owned),
     };
-    // Whatever happens to this request, the lender learns that it is over: the guard gives back.
+    // The guard returns the slot if the call fails or is dropped, since the lender may have lent it.
     let mut guard = LoanGuard { node: node.clone(), loan: Some(BorrowedSlot { id: ask.id.clone(), lender }) };
     let limit = millis(wait_ms + node.settings.limits.peer_ms);
     let call = |client: LinkClient, context| async move { client.slot(context, ask).await };
@@ -167,7 +168,7 @@
     Some((choice, slot))
 }
 
-/// Gives a loan back when it is dropped before it was taken.
+/// Returns a borrowed slot when dropped, unless the slot was handed over.
 struct LoanGuard<W: Ports> {
     node: Arc<Node<W>>,
     loan: Option<BorrowedSlot>,
@@ -181,7 +182,7 @@
     }
 }
 
-/// Ends the use of a slot.
+/// Releases a slot.
 pub(crate) fn release<W: Ports>(node: &Arc<Node<W>>, slot: Slot) {
     match slot.loan {
         None => node.schedule.release(&slot.upstream),
@@ -189,7 +190,8 @@
     }
 }
 
-/// Tells the lender until it answers; if it never does, it takes the slot back by itself.
+/// Returns a slot to its lender, with retries. A lender that can't be reached reclaims the slot itself once
+/// it considers this router gone.
 fn return_slot<W: Ports>(node: &Arc<Node<W>>, loan: BorrowedSlot, failed: bool) {
     let node = node.clone();
     exec::spawn(async move {
@@ -201,12 +203,12 @@
             }
             exec::sleep(millis(RETURN_PAUSE_MS)).await;
         }
-        log::warn!("route: slot {} could not be given back to {}", loan.id, loan.lender);
+        log::warn!("route: slot {} could not be returned to {}", loan.id, loan.lender);
     })
     .detach();
 }
 
-/// The slots that this router lends.
+/// The slots that this router has lent.
 #[derive(Debug, Default)]
 pub(crate) struct SlotLoans {
     state: Mutex<State>,
@@ -220,11 +222,11 @@
 
 #[derive(Debug)]
 enum LoanState {
-    /// A request waits; closing the channel withdraws it.
+    /// The peer's request waits; closing the channel withdraws it.
     Waiting(Sender<()>),
-    /// A slot is lent.
+    /// The slot is lent.
     Held { upstream: String, borrower: String, since: u64 },
-    /// It is over: a late request takes nothing.
+    /// The loan has ended; a delayed request takes no slot.
     Ended,
 }
 
@@ -233,7 +235,7 @@
         self.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Lends a slot, as soon as one is free.
+    /// Lends a slot as soon as one is free. Returns its upstream.
     pub(crate) async fn lend<C: Clock>(
         &self,
         schedule: &Schedule<C>,
@@ -273,7 +275,7 @@
         self.complete_loan(schedule, now, ask, upstream)
     }
 
-    /// Notes what a request got, unless it was withdrawn meanwhile.
+    /// Records the result of a peer's request, or releases the slot if the request was withdrawn meanwhile.
     fn complete_loan<C: Clock>(
         &self,
         schedule: &Schedule<C>,
@@ -303,7 +305,7 @@
         }
     }
 
-    /// Takes a slot back, or withdraws a request that waits.
+    /// Takes back a slot, or withdraws a waiting request.
     pub(crate) fn take_back<C: Clock>(&self, schedule: &Schedule<C>, id: &str, failed: bool) {
         let before = {
             let mut state = self.lock();
@@ -332,7 +334,7 @@
         }
     }
 
-    /// The slots lent before `then` whose borrower is gone.
+    /// The ids of slots that were lent before `then` and whose borrower is gone.
     pub(crate) fn overdue(&self, then: u64, is_gone: impl Fn(&str) -> bool) -> Vec<String> {
         let state = self.lock();
         let overdue = |lent: &LoanState| match lent {
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -1,4 +1,5 @@
-//! Bundles: learning of the accepted sequence, fetching what changed, and putting it in force.
+//! Bundle updates: learning the accepted sequence, fetching the changed parts, and putting the bundle in
+//! force.
 
 use crate::clock::Clock;
 use crate::membership;
@@ -14,32 +15,32 @@
 use std::sync::Arc;
 use store::{Store, Table};
 
-/// Reads of the head that all routers together make in a second.
+/// The maximum number of reads per second of the head row by all routers together.
 const FLEET_HEAD_READS_PER_S: u64 = 400;
 
-/// Why a bundle was not put in force.
+/// The reason why a bundle was not put in force.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(crate) enum Error {
     /// A part could not be fetched.
     #[error("{0}")]
     Fetch(String),
-    /// It was rejected.
+    /// The bundle is invalid.
     #[error("{0}")]
     Bundle(#[from] bundle::Error),
-    /// The signed manifest is for another place in the history.
-    #[error("the manifest follows sequence {parent}, so it can't be sequence {sequence}: it was replayed")]
+    /// The signed manifest belongs at another position in the history.
+    #[error("replayed manifest: its parent is sequence {parent}, so it can't be sequence {sequence}")]
     Replayed {
-        /// The sequence that it follows.
+        /// The sequence of its parent.
         parent: u64,
-        /// The sequence that was claimed for it.
+        /// The sequence under which it was offered.
         sequence: u64,
     },
-    /// The signed manifest is not the one that was accepted.
-    #[error("the manifest does not have the accepted digest")]
+    /// The digest of the signed manifest differs from the accepted one.
+    #[error("the digest of the manifest differs from the accepted one")]
     Digest,
 }
 
-/// Watches the platform's head row.
+/// Polls the platform's head row until the router has stopped.
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>) {
     membership::join_fleet(&node).await;
     while !node.is_stopped() {
@@ -58,12 +59,12 @@
     }
 }
 
-/// Adopts the bundle that a peer has in force, if it is later.
+/// Adopts the bundle that a peer has in force, if it is later than the current one.
 pub(crate) async fn adopt_from_peer<W: Ports>(node: &Arc<Node<W>>, beat: &Heartbeat) {
     adopt(node, beat.sequence, &beat.manifest, Source::Peer(beat.address)).await;
 }
 
-/// Where parts are fetched.
+/// The source from which parts are fetched.
 #[derive(Clone, Copy, Debug)]
 enum Source {
     Platform,
@@ -81,7 +82,7 @@
                 log::info!("bundle: sequence {sequence} is in force, from {source:?}");
             }
         }
-        Err(Error::Fetch(reason)) => log::warn!("bundle: sequence {sequence} can't be fetched yet: {reason}"),
+        Err(Error::Fetch(reason)) => log::warn!("bundle: fetching sequence {sequence} failed: {reason}"),
         Err(error) => {
             node.metrics.rejected.inc();
             log::error!("bundle: sequence {sequence} from {source:?} is rejected: {error}");
@@ -97,7 +98,7 @@
     source: Source,
 ) -> Result<ActiveBundle, Error> {
     let fetched = fetch_parts(node, &[digest.to_owned()], source).await?;
-    let text = fetched.get(digest).ok_or_else(|| Error::Fetch("the manifest is not there".to_owned()))?;
+    let text = fetched.get(digest).ok_or_else(|| Error::Fetch("the manifest was not found".to_owned()))?;
     let signed: Signed = serde_json::from_str(text)
         .map_err(|error| bundle::Error::Unreadable("signed manifest".to_owned(), error.to_string()))?;
     if signed.digest() != digest {
@@ -125,7 +126,7 @@
     Ok(ActiveBundle { sequence, manifest: digest.to_owned(), parts, teams, content, keys, since })
 }
 
-/// Gathers parts: those in force are at hand, the others are fetched.
+/// Collects parts. Those of the bundle in force are reused; the others are fetched.
 async fn collect_parts<W: Ports>(
     node: &Arc<Node<W>>,
     current: &ActiveBundle,
--- a/crates/router/src/sync.rs
+++ b/crates/router/src/sync.rs
@@ -1,7 +1,8 @@
-//! Settling with the platform: one transaction for many budgets, repeated until its outcome is known.
+//! Settlement with the platform: one transaction for many budgets, repeated until its outcome is known.
 //!
-//! The batch has a number in this router's account row. Every attempt is conditional on that row, so at most
-//! one attempt takes effect, however many answers are lost; reading the row back tells which.
+//! Each batch has a sequence number, which is stored in this router's account row. All attempts are
+//! conditional on that row, so at most one takes effect even if answers are lost. Reading the row back shows
+//! whether one did.
 
 use crate::clock::Clock;
 use crate::node::Node;
@@ -17,17 +18,17 @@
 use std::time::Duration;
 use store::{Error, Fault, Row, Table, Tx, Verdict};
 
-/// Settlements a second that all routers together may ask of the platform.
+/// The maximum number of settlements per second of all routers together.
 const FLEET_SETTLEMENTS_PER_S: u64 = 280;
-/// The pause after a failed attempt, at first and at most, in milliseconds.
+/// The first and the longest bound of the random pause after a failed attempt, in milliseconds.
 const BACKOFF_MS: (u64, u64) = (20, 1_000);
 
 /// The row that makes a charge of a keyed request unique (I2).
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct ChargeRow {
-    /// The request that charged.
+    /// The id of the request that was charged.
     pub request: String,
-    /// Tokens.
+    /// The tokens charged.
     pub tokens: u64,
 }
 
@@ -41,22 +42,22 @@
     format!("account/{holder}")
 }
 
-/// The key of a row for a request identity; the caller's text is hashed.
+/// The key of a row for an idempotency key, which is hashed.
 pub(crate) fn identity_key(table: &str, budget: &str, key: &str) -> String {
     format!("{table}/{budget}/{}", hex::encode(Sha256::digest(key.as_bytes())))
 }
 
-/// How one attempt ended.
+/// The outcome of an attempt.
 enum Attempt {
-    /// The batch is in the account; these are the pools after it, where they are known.
+    /// The batch has taken effect. The pools are those read or written by the last attempt.
     Posted(Account, BTreeMap<String, Pool>),
-    /// Another writer was faster.
+    /// Another writer changed a row in the meantime.
     Conflict,
-    /// The platform failed; whether it wrote is seen by reading back.
+    /// A call to the platform failed. The next attempt finds out whether the write took effect.
     Failed(Error),
 }
 
-/// Runs settlements until the node has stopped.
+/// Settles at regular intervals, or when requested, until the router has stopped.
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: async_channel::Receiver<()>) {
     let mut last = node.clock.now();
     while !node.is_stopped() {
@@ -77,10 +78,10 @@
     }
 }
 
-/// Settles everything that is dirty in one batch; `false` if there was nothing.
+/// Settles one batch of the budgets that need it. Returns `false` if none does.
 pub(crate) async fn settle<W: Ports>(node: &Node<W>, now: u64, elapsed_ms: u64, close: bool) -> bool {
     let _settling = node.settlement_lock.lock().await;
-    // After the last settlement nothing may be drawn again.
+    // No tokens may be drawn after the last settlement.
     if node.is_stopped() && !close {
         return false;
     }
@@ -107,7 +108,7 @@
             Attempt::Failed(error) => {
                 node.set_platform_up(false);
                 node.count_platform_call("settle", "failed");
-                log::warn!("settle: batch {sequence} waits: {error}");
+                log::warn!("settle: batch {sequence} failed and is retried: {error}");
                 pause = (pause * 2).min(BACKOFF_MS.1);
             }
         }
@@ -154,7 +155,7 @@
     };
     match post(&mut account, &mut pools, &charged, batch, node.fleet_size()) {
         Ok(()) => {}
-        // An earlier attempt took effect and its answer was lost.
+        // An earlier attempt took effect, but its answer was lost.
         Err(PostError::Posted(_)) => return Attempt::Posted(account, pools),
         Err(error) => return Attempt::Failed(settle_error(error.to_string())),
     }
@@ -193,7 +194,7 @@
     match current.get(key) {
         None => Ok(T::default()),
         Some(row) => {
-            row.decode().map_err(|error| settle_error(format!("row {key} is not understood: {error}")))
+            row.decode().map_err(|error| settle_error(format!("row {key} can't be decoded: {error}")))
         }
     }
 }
