--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -57,7 +57,7 @@
     pub model: String,
     /// The hash of the prompt's prefix.
     pub prefix: u64,
-    /// The upstreams that must not be used, since the request failed there.
+    /// The upstreams to avoid because the request failed there.
     pub avoid: Vec<String>,
     /// The name of the team.
     pub team: String,
--- a/crates/peer/src/view.rs
+++ b/crates/peer/src/view.rs
@@ -102,23 +102,23 @@
     }
 
     /// Records a heartbeat. Returns whether the router is new or has restarted.
-    pub fn record_heartbeat(&mut self, beat: &Heartbeat, now: u64) -> bool {
-        if beat.name == self.own_name {
+    pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: u64) -> bool {
+        if heartbeat.name == self.own_name {
             return false;
         }
         let member = self
             .members
-            .entry(beat.name.clone())
-            .or_insert_with(|| Member { listed: false, ..Member::new(&beat.name, beat.address) });
-        if beat.incarnation < member.incarnation {
+            .entry(heartbeat.name.clone())
+            .or_insert_with(|| Member { listed: false, ..Member::new(&heartbeat.name, heartbeat.address) });
+        if heartbeat.incarnation < member.incarnation {
             return false;
         }
-        let is_new = beat.incarnation > member.incarnation;
-        member.address = beat.address;
-        member.callers = Some(beat.callers);
-        member.incarnation = beat.incarnation;
-        member.sequence = beat.sequence;
-        member.stopping = beat.stopping;
+        let is_new = heartbeat.incarnation > member.incarnation;
+        member.address = heartbeat.address;
+        member.callers = Some(heartbeat.callers);
+        member.incarnation = heartbeat.incarnation;
+        member.sequence = heartbeat.sequence;
+        member.stopping = heartbeat.stopping;
         member.last_heartbeat = Some(now);
         member.silent_since = None;
         is_new
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -42,8 +42,8 @@
     pub arrived: u64,
     /// The number of attempts.
     pub attempts: u32,
-    /// Upstreams that must not be tried again.
-    pub excluded: Vec<String>,
+    /// Upstreams to avoid because an attempt there failed; cleared once all that serve the model are listed.
+    pub avoid: Vec<String>,
     /// The execution that earlier attempts caused.
     pub execution: Execution,
 }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Handles an engine's refusal to start the run.
+    /// Handles the refusal of a run by an engine, which did no work for it.
     fn handle_refusal(&self, started_run: &StartedRun, status: u16, body: &Bytes) -> AttemptOutcome {
         let text = String::from_utf8_lossy(body).into_owned();
         if matches!(status, 404 | 408 | 409 | 429 | 503) {
@@ -170,7 +170,7 @@
         Charge { request: self.admitted.id.clone(), key: self.admitted.key.clone(), tokens }
     }
 
-    /// Relays a stream to the caller, and resumes it where it breaks.
+    /// Relays a stream to the caller, and resumes it at the same engine where it breaks.
     async fn relay_stream(
         &self,
         model: &Model,
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -142,7 +142,7 @@
         };
         let ending = async {
             ended.await;
-            Some("the peer fell silent".to_owned())
+            Some("the peer is no longer considered alive".to_owned())
         };
         if let Some(reason) = smol::future::or(copying, ending).await {
             pipe.abort(&reason).await;
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -141,9 +141,9 @@
             .inspect_err(|_| node.grants.release(budget, self.ask.max_tokens))?;
         progress.attempts += 1;
         let next = self.attempt(model, slot, progress).await;
-        progress.excluded.push(choice.upstream);
-        if progress.excluded.len() >= self.serving_count() {
-            progress.excluded.clear();
+        progress.avoid.push(choice.upstream);
+        if progress.avoid.len() >= self.serving_count() {
+            progress.avoid.clear();
         }
         match next {
             AttemptOutcome::Complete => Ok(NextStep::Done),
@@ -184,7 +184,7 @@
         let want = Want {
             model: &self.ask.model,
             prefix: self.ask.prefix,
-            avoid: &progress.excluded,
+            avoid: &progress.avoid,
             team: &access.team,
             weight,
             priority: model.priority,
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -50,8 +50,8 @@
 }
 
 impl<W: Ports> Handler for PeerService<W> {
-    fn exchange_heartbeat(&self, beat: Heartbeat) -> Heartbeat {
-        crate::membership::record_heartbeat(&self.0, &beat);
+    fn exchange_heartbeat(&self, heartbeat: Heartbeat) -> Heartbeat {
+        crate::membership::record_heartbeat(&self.0, &heartbeat);
         self.0.heartbeat()
     }
 
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -17,7 +17,7 @@
 /// The number of routers to which a router sends heartbeats, independent of the size of the fleet.
 const HEARTBEAT_FANOUT: usize = 6;
 /// The maximum number of routers that a new router contacts before it adopts a bundle.
-const MAX_GREETED: usize = 16;
+const MAX_CONTACTED: usize = 16;
 
 /// Sends heartbeats at regular intervals, and at once when requested.
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: Receiver<()>) {
@@ -50,17 +50,17 @@
     addresses.extend(node.alive_peers().into_iter().map(|(_, address)| address));
     addresses.sort_unstable();
     addresses.dedup();
-    addresses.truncate(MAX_GREETED);
-    let beats = join_all(addresses.iter().map(|address| send_heartbeat(node, *address))).await;
-    let latest = beats.into_iter().flatten().max_by_key(|beat| beat.sequence);
-    if let Some(beat) = latest {
-        steer::adopt_from_peer(node, &beat).await;
+    addresses.truncate(MAX_CONTACTED);
+    let heartbeats = join_all(addresses.iter().map(|address| send_heartbeat(node, *address))).await;
+    let latest = heartbeats.into_iter().flatten().max_by_key(|heartbeat| heartbeat.sequence);
+    if let Some(heartbeat) = latest {
+        steer::adopt_from_peer(node, &heartbeat).await;
     }
 }
 
 async fn send_heartbeat<W: Ports>(node: &Arc<Node<W>>, address: SocketAddr) -> Option<Heartbeat> {
-    let beat = node.heartbeat();
-    let call = |client: LinkClient, context| async move { client.beat(context, beat).await };
+    let heartbeat = node.heartbeat();
+    let call = |client: LinkClient, context| async move { client.beat(context, heartbeat).await };
     match node.peers.call("beat", address, call).await {
         Ok(answer) => {
             record_heartbeat(node, &answer);
@@ -81,21 +81,29 @@
 }
 
 /// Records a heartbeat, and acts on what changed.
-pub(crate) fn record_heartbeat<W: Ports>(node: &Arc<Node<W>>, beat: &Heartbeat) {
+pub(crate) fn record_heartbeat<W: Ports>(node: &Arc<Node<W>>, heartbeat: &Heartbeat) {
     let now = node.clock.now();
-    let is_new = node.view().record_heartbeat(beat, now);
+    let is_new = node.view().record_heartbeat(heartbeat, now);
     if is_new {
-        log::info!("peer: {} #{} sends heartbeats from {}", beat.name, beat.incarnation, beat.address);
+        log::info!(
+            "peer: {} #{} sends heartbeats from {}",
+            heartbeat.name,
+            heartbeat.incarnation,
+            heartbeat.address
+        );
         node.reassign_slots();
     }
-    for name in &beat.leaving {
+    for name in &heartbeat.leaving {
         if node.schedule.record_leaving_hint(name) {
-            log::info!("upstream: {name} is leaving and gets no new requests, according to {}", beat.name);
+            log::info!(
+                "upstream: {name} is leaving and gets no new requests, according to {}",
+                heartbeat.name
+            );
         }
     }
-    if beat.sequence > node.bundle().sequence {
-        let (node, beat) = (node.clone(), beat.clone());
-        exec::spawn(async move { steer::adopt_from_peer(&node, &beat).await }).detach();
+    if heartbeat.sequence > node.bundle().sequence {
+        let (node, heartbeat) = (node.clone(), heartbeat.clone());
+        exec::spawn(async move { steer::adopt_from_peer(&node, &heartbeat).await }).detach();
     }
 }
 
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -330,7 +330,7 @@
         self.node.addresses()
     }
 
-    /// Stops the router without aborting requests. It is not ready from the start, refuses new requests after
+    /// Stops the router without aborting requests. It reports not ready at once, refuses new requests after
     /// the load balancer's delay, completes open answers, and then returns its unused tokens.
     pub async fn stop(self) {
         let node = &self.node;
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -197,7 +197,7 @@
     if let Some(response) = find_existing_run(node, &admitted, &shared, &parts, &body).await? {
         return Ok(response);
     }
-    let following = shared.clone().follow();
+    let response = shared.clone().follow();
     node.open_requests.fetch_add(1, Ordering::Relaxed);
     let node = node.clone();
     exec::spawn(async move {
@@ -205,7 +205,7 @@
         job::finish_request(&node, &admitted, &shared, &result);
     })
     .detach();
-    Ok(following.await)
+    Ok(response.await)
 }
 
 async fn run_or_replay<W: Ports>(
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -60,8 +60,8 @@
 }
 
 /// Adopts the bundle that a peer has in force, if it is later than the current one.
-pub(crate) async fn adopt_from_peer<W: Ports>(node: &Arc<Node<W>>, beat: &Heartbeat) {
-    adopt(node, beat.sequence, &beat.manifest, Source::Peer(beat.address)).await;
+pub(crate) async fn adopt_from_peer<W: Ports>(node: &Arc<Node<W>>, heartbeat: &Heartbeat) {
+    adopt(node, heartbeat.sequence, &heartbeat.manifest, Source::Peer(heartbeat.address)).await;
 }
 
 /// The source from which parts are fetched.
