--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Completed requests by outcome.
+    /// Ended requests by outcome.
     pub answers: IntCounterVec,
     /// Routing decisions by reason.
     pub decisions: IntCounterVec,
