--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -121,7 +121,7 @@
     async fn spare(holder: String) -> bool;
 }
 
-/// The implementation of [`Link`] by a router. All calls except `slot` are answered without waiting.
+/// The implementation of the RPC service by a router. All calls except `slot` are answered without waiting.
 pub trait Handler: Clone + Send + Sync + 'static {
     /// Records a heartbeat, and returns the router's own.
     fn exchange_heartbeat(&self, beat: Heartbeat) -> Heartbeat;
