--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -1,48 +1,49 @@
-//! Bundles: learning of the accepted sequence, fetching what changed, and putting it in force.
+//! Bundle updates: learning the accepted sequence, fetching the changed parts, and putting the bundle in
+//! force.
 
 use crate::clock::Clock;
 use crate::membership;
-use crate::node::{Access, InForce, Node};
+use crate::node::{Access, ActiveBundle, Node};
 use crate::ports::Ports;
 use crate::settings::millis;
 use bundle::{Bundle, Manifest, Signed};
 use net::exec;
-use peer::{Beat, LinkClient};
+use peer::{Heartbeat, LinkClient};
 use roll::{Accepted, HEAD, object_key};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use store::{Store, Table};
 
-/// Reads of the head that all routers together make in a second.
-const FLEET_RATE: u64 = 400;
+/// The maximum number of reads per second of the head row by all routers together.
+const FLEET_HEAD_READS_PER_S: u64 = 400;
 
-/// Why a bundle was not put in force.
+/// The reason why a bundle was not put in force.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(crate) enum Error {
     /// A part could not be fetched.
     #[error("{0}")]
     Fetch(String),
-    /// It was rejected.
+    /// The bundle is invalid.
     #[error("{0}")]
     Bundle(#[from] bundle::Error),
-    /// The signed manifest is for another place in the history.
-    #[error("the manifest follows sequence {parent}, so it can't be sequence {sequence}: it was replayed")]
+    /// The signed manifest belongs at another position in the history.
+    #[error("replayed manifest: its parent is sequence {parent}, so it can't be sequence {sequence}")]
     Replayed {
-        /// The sequence that it follows.
+        /// The sequence of its parent.
         parent: u64,
-        /// The sequence that was claimed for it.
+        /// The sequence under which it was offered.
         sequence: u64,
     },
-    /// The signed manifest is not the one that was accepted.
-    #[error("the manifest does not have the accepted digest")]
+    /// The digest of the signed manifest differs from the accepted one.
+    #[error("the digest of the manifest differs from the accepted one")]
     Digest,
 }
 
-/// Watches the platform's head row.
+/// Polls the platform's head row until the router has stopped.
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>) {
-    membership::introduce(&node).await;
-    while !node.is_closed() {
+    membership::join_fleet(&node).await;
+    while !node.is_stopped() {
         match node.platform.read(&[HEAD.to_owned()]).await {
             Ok(rows) => {
                 let head = rows.into_iter().next().flatten();
@@ -53,17 +54,17 @@
             }
             Err(error) => log::debug!("bundle: {error}"),
         }
-        let pause = node.settings.limits.poll_ms.max(node.fleet_size() * 1_000 / FLEET_RATE);
+        let pause = node.settings.limits.poll_ms.max(node.fleet_size() * 1_000 / FLEET_HEAD_READS_PER_S);
         exec::sleep(millis(pause)).await;
     }
 }
 
-/// Adopts the bundle that a peer has in force, if it is later.
-pub(crate) async fn adopt_from_peer<W: Ports>(node: &Arc<Node<W>>, beat: &Beat) {
-    adopt(node, beat.sequence, &beat.manifest, Source::Peer(beat.address)).await;
+/// Adopts the bundle that a peer has in force, if it is later than the current one.
+pub(crate) async fn adopt_from_peer<W: Ports>(node: &Arc<Node<W>>, heartbeat: &Heartbeat) {
+    adopt(node, heartbeat.sequence, &heartbeat.manifest, Source::Peer(heartbeat.address)).await;
 }
 
-/// Where parts are fetched.
+/// The source from which parts are fetched.
 #[derive(Clone, Copy, Debug)]
 enum Source {
     Platform,
@@ -75,13 +76,13 @@
     if sequence <= current.sequence {
         return;
     }
-    match build(node, &current, sequence, manifest, source).await {
+    match fetch_bundle(node, &current, sequence, manifest, source).await {
         Ok(next) => {
-            if node.put_in_force(next) {
+            if node.activate_bundle(next) {
                 log::info!("bundle: sequence {sequence} is in force, from {source:?}");
             }
         }
-        Err(Error::Fetch(reason)) => log::warn!("bundle: sequence {sequence} can't be fetched yet: {reason}"),
+        Err(Error::Fetch(reason)) => log::warn!("bundle: fetching sequence {sequence} failed: {reason}"),
         Err(error) => {
             node.metrics.rejected.inc();
             log::error!("bundle: sequence {sequence} from {source:?} is rejected: {error}");
@@ -89,15 +90,15 @@
     }
 }
 
-async fn build<W: Ports>(
+async fn fetch_bundle<W: Ports>(
     node: &Arc<Node<W>>,
-    current: &InForce,
+    current: &ActiveBundle,
     sequence: u64,
     digest: &str,
     source: Source,
-) -> Result<InForce, Error> {
-    let fetched = fetch(node, &[digest.to_owned()], source).await?;
-    let text = fetched.get(digest).ok_or_else(|| Error::Fetch("the manifest is not there".to_owned()))?;
+) -> Result<ActiveBundle, Error> {
+    let fetched = fetch_parts(node, &[digest.to_owned()], source).await?;
+    let text = fetched.get(digest).ok_or_else(|| Error::Fetch("the manifest was not found".to_owned()))?;
     let signed: Signed = serde_json::from_str(text)
         .map_err(|error| bundle::Error::Unreadable("signed manifest".to_owned(), error.to_string()))?;
     if signed.digest() != digest {
@@ -110,9 +111,9 @@
     }
 
     let mut parts = HashMap::new();
-    collect(node, current, manifest.sections.values(), source, &mut parts).await?;
+    collect_parts(node, current, manifest.sections.values(), source, &mut parts).await?;
     let teams = bundle::team_digests(&manifest, |digest| parts.get(digest).map(String::as_str))?;
-    collect(node, current, teams.values(), source, &mut parts).await?;
+    collect_parts(node, current, teams.values(), source, &mut parts).await?;
     parts.insert(digest.to_owned(), text.clone());
     let find = |digest: &str| parts.get(digest).map(String::as_str);
     let content = bundle::join(&manifest, find, |digest| current.teams.get(digest).cloned())?;
@@ -120,15 +121,15 @@
         .into_iter()
         .filter_map(|(name, digest)| content.teams.get(&name).map(|team| (digest, team.clone())))
         .collect();
-    let keys = access(&content);
+    let keys = access_keys(&content);
     let since = node.clock.now();
-    Ok(InForce { sequence, manifest: digest.to_owned(), parts, teams, content, keys, since })
+    Ok(ActiveBundle { sequence, manifest: digest.to_owned(), parts, teams, content, keys, since })
 }
 
-/// Gathers parts: those in force are at hand, the others are fetched.
-async fn collect<W: Ports>(
+/// Collects parts. Those of the bundle in force are reused; the others are fetched.
+async fn collect_parts<W: Ports>(
     node: &Arc<Node<W>>,
-    current: &InForce,
+    current: &ActiveBundle,
     digests: impl Iterator<Item = &String>,
     source: Source,
     parts: &mut HashMap<String, String>,
@@ -142,11 +143,11 @@
             None => missing.push(digest.clone()),
         }
     }
-    parts.extend(fetch(node, &missing, source).await?);
+    parts.extend(fetch_parts(node, &missing, source).await?);
     Ok(())
 }
 
-async fn fetch<W: Ports>(
+async fn fetch_parts<W: Ports>(
     node: &Node<W>,
     digests: &[String],
     source: Source,
@@ -174,7 +175,7 @@
 }
 
 /// The access keys by hash.
-fn access(bundle: &Bundle) -> HashMap<String, Access> {
+fn access_keys(bundle: &Bundle) -> HashMap<String, Access> {
     let mut keys = HashMap::new();
     for (name, team) in &bundle.teams {
         for key in &team.keys {
