--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -27,7 +27,7 @@
 
 impl Bundle {
     /// The upstreams that may get work: those of evacuated data centres finish what they have.
-    pub fn serving(&self) -> impl Iterator<Item = (&str, &Upstream)> {
+    pub fn active_upstreams(&self) -> impl Iterator<Item = (&str, &Upstream)> {
         let all = self.upstreams.iter().map(|(name, upstream)| (name.as_str(), upstream));
         all.filter(|(_, upstream)| !self.evacuated.contains(&upstream.data_centre))
     }
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -186,7 +186,7 @@
 }
 
 /// Whether a section is named by the manifest itself, and not by an index.
-pub fn is_top(name: &str) -> bool {
+pub fn is_named_by_manifest(name: &str) -> bool {
     !name.starts_with("team/")
 }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -172,7 +172,7 @@
     ) -> ReadOutcome<W, S> {
         let (response, lease) = match sending.await {
             Ok(answer) => answer,
-            Err(failure) if failure.is_unwanted => {
+            Err(failure) if failure.is_withdrawn => {
                 return ReadOutcome::Other(Outcome::NotSent(failure.error.to_string()));
             }
             Err(failure) => {
--- a/crates/gateway/src/counted.rs
+++ b/crates/gateway/src/counted.rs
@@ -3,7 +3,7 @@
 use crate::metrics::Metrics;
 use prometheus::{Histogram, IntCounterVec};
 use std::time::Instant;
-use store::rows::{Change, Commit, Feed, Page, Progress, Rows, Since};
+use store::rows::{Change, Commit, Feed, FeedQuery, Page, Progress, Rows};
 use store::{Error, Fault};
 
 /// A store whose calls are counted.
@@ -69,7 +69,7 @@
         result
     }
 
-    async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
+    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
         let result = self.rows.feed(table, since).await;
         let bytes = match &result {
             Ok(Feed::Changes(page)) => page_bytes(page),
@@ -84,7 +84,7 @@
         result
     }
 
-    fn reporting(&self, progress: &Progress) -> Counted<S> {
-        Counted { rows: self.rows.reporting(progress), ..self.clone() }
+    fn with_progress(&self, progress: &Progress) -> Counted<S> {
+        Counted { rows: self.rows.with_progress(progress), ..self.clone() }
     }
 }
--- a/crates/gateway/src/failover.rs
+++ b/crates/gateway/src/failover.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use store::rows::{Change, Commit, Feed, Page, Progress, Rows, Since};
+use store::rows::{Change, Commit, Feed, FeedQuery, Page, Progress, Rows};
 use store::{Error, Fault};
 
 /// How much longer a read is waited for before another gateway is asked as well: its answer may hold more than a write's.
@@ -48,7 +48,7 @@
 enum Call {
     Commit(Change),
     List { table: String, part: String },
-    Feed { table: String, since: Since },
+    Feed { table: String, since: FeedQuery },
 }
 
 /// How a call ended that a gateway made for another.
@@ -82,7 +82,7 @@
     pub(crate) fn new(direct: S) -> Failover<S> {
         Failover {
             direct,
-            client: Client::with_idle(IDLE.0, IDLE.1),
+            client: Client::with_idle_limits(IDLE.0, IDLE.1),
             access: Arc::default(),
             helped: Arc::default(),
             reads: Arc::default(),
@@ -276,12 +276,12 @@
             Call::Commit(change) => self.make("commit", &change, self.direct.commit(&change)).await,
             Call::List { table, part } => {
                 let read = self.read();
-                let direct = self.direct.reporting(&read.progress);
+                let direct = self.direct.with_progress(&read.progress);
                 self.make("list", &table, direct.list(&table, &part)).await
             }
             Call::Feed { table, since } => {
                 let read = self.read();
-                let direct = self.direct.reporting(&read.progress);
+                let direct = self.direct.with_progress(&read.progress);
                 self.make("feed", &table, direct.feed(&table, since)).await
             }
         }
@@ -317,7 +317,7 @@
 impl Drop for Read<'_> {
     fn drop(&mut self) {
         let mut reads = self.reads.lock().expect("no thread panics while it holds the reads");
-        if let Some(index) = reads.iter().position(|read| read.is(&self.progress)) {
+        if let Some(index) = reads.iter().position(|read| read.is_same(&self.progress)) {
             reads.swap_remove(index);
         }
     }
@@ -406,18 +406,18 @@
     async fn list(&self, table: &str, part: &str) -> Result<Page, Error> {
         let call = Call::List { table: table.to_owned(), part: part.to_owned() };
         let read = self.read();
-        let direct = self.direct.reporting(&read.progress);
+        let direct = self.direct.with_progress(&read.progress);
         self.reach("list", &call, &read.progress, direct.list(table, part)).await
     }
 
-    async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
+    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
         let call = Call::Feed { table: table.to_owned(), since };
         let read = self.read();
-        let direct = self.direct.reporting(&read.progress);
+        let direct = self.direct.with_progress(&read.progress);
         self.reach("feed", &call, &read.progress, direct.feed(table, since)).await
     }
 
-    fn reporting(&self, progress: &Progress) -> Failover<S> {
+    fn with_progress(&self, progress: &Progress) -> Failover<S> {
         Failover { progress: Some(progress.clone()), ..self.clone() }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -173,7 +173,7 @@
 async fn sweep<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     for round in 1u64.. {
         exec::sleep(SWEEP).await;
-        node.pool.sweep();
+        node.pool.evict_expired();
         node.delegate.expire();
         if round.is_multiple_of(CALLS_LINE) {
             log::info!("store: event=calls {}", node.metrics.store_calls_line());
@@ -238,7 +238,7 @@
         node.set_phase(Phase::Draining);
         self.callers.stop();
         let last = node.settings.grace_period().saturating_sub(SETTLE);
-        while self.callers.open() > 0 && began.elapsed() < last {
+        while self.callers.open_connections() > 0 && began.elapsed() < last {
             exec::sleep(LOOK).await;
         }
         log::info!("gateway: event=drained open={}", node.open.load(Ordering::Relaxed));
--- a/crates/gateway/src/peer_reservations.rs
+++ b/crates/gateway/src/peer_reservations.rs
@@ -121,7 +121,7 @@
     pub(crate) fn new(holder: &str) -> PeerReservations {
         PeerReservations {
             holder: holder.to_owned(),
-            client: Client::with_idle(IDLE_CONNECTIONS.0, IDLE_CONNECTIONS.1),
+            client: Client::with_idle_limits(IDLE_CONNECTIONS.0, IDLE_CONNECTIONS.1),
             next_number: AtomicU64::new(1),
             held: Mutex::default(),
         }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -9,7 +9,7 @@
 use crate::job::{Admitted, Job};
 use crate::node::Node;
 use crate::ports::Wire;
-use net::{Reach, exec};
+use net::{ProbeResult, exec};
 use route::Millis;
 use route::notice::{FollowUp, Notice};
 use route::quarantine::{DECISION_DELAY_MS, DENIAL_DURATION_MS, Fingerprint, Stage, Upstreams, Verdict};
@@ -166,7 +166,7 @@
         "upstream: event=run-lost upstream={upstream} address={} request={request} fingerprint={fingerprint} begun-ms={begun_ms:?} leaving={is_leaving}",
         reach.name()
     );
-    if reach != Reach::Refuses {
+    if reach != ProbeResult::Refuses {
         return;
     }
     node.metrics.runs_lost.inc();
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -87,10 +87,10 @@
     /// Returns every mistake with its line.
     pub fn read(text: &str) -> Result<Settings, Vec<Mistake>> {
         let read = yaml::read(text, |reader, mut root| {
-            let name = reader.need::<String>(&mut root, "name");
-            let data_centre = reader.need::<String>(&mut root, "data-centre");
-            let listen = reader.need::<Listen>(&mut root, "listen");
-            let store = reader.need::<SocketAddr>(&mut root, "store");
+            let name = reader.require::<String>(&mut root, "name");
+            let data_centre = reader.require::<String>(&mut root, "data-centre");
+            let listen = reader.require::<Listen>(&mut root, "listen");
+            let store = reader.require::<SocketAddr>(&mut root, "store");
             let writes = reader.take::<u64>(&mut root, "store-writes-per-s");
             let store_writes_per_s = writes.unwrap_or(DEFAULT_STORE_WRITES_PER_S);
             let threads = reader.take::<usize>(&mut root, "threads").unwrap_or(1);
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use store::Error;
-use store::rows::{Feed, Page, Progress, Record, Rows, Since};
+use store::rows::{Feed, FeedQuery, Page, Progress, Record, Rows};
 
 /// How long one wait for changes lasts at the store: a broken connection is noticed this late at most.
 const WAIT_MS: u64 = 1_000;
@@ -119,7 +119,7 @@
     let result = match follower.after {
         None => rows.list(table, "").await.map(Step::Whole),
         Some(after) => {
-            let since = Since { after, wait_ms, most: follower.most };
+            let since = FeedQuery { after, wait_ms, most: follower.most };
             rows.feed(table, since).await.map(|feed| match feed {
                 Feed::Changes(page) => Step::Changes(page),
                 Feed::Lost => Step::Start("history-lost"),
@@ -166,7 +166,7 @@
         let (table, _) = node.wire.manifest_row();
         let progress = Progress::default();
         node.set_manifest_read(&progress);
-        let found = step(&node, &node.rows.reporting(&progress), table, &mut follower, WAIT_MS).await;
+        let found = step(&node, &node.rows.with_progress(&progress), table, &mut follower, WAIT_MS).await;
         match &found {
             Step::Whole(page) => evacuations.take_whole(&node, page),
             Step::Changes(page) => page.records.iter().for_each(|record| evacuations.take(&node, record)),
--- a/crates/gateway/tests/unit/failover.rs
+++ b/crates/gateway/tests/unit/failover.rs
@@ -88,12 +88,12 @@
         Ok(self.bring(self.rows.list(table, part).await?).await)
     }
 
-    async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
+    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
         self.pass().await?;
         self.rows.feed(table, since).await
     }
 
-    fn reporting(&self, progress: &Progress) -> Path {
+    fn with_progress(&self, progress: &Progress) -> Path {
         Path { progress: progress.clone(), ..self.clone() }
     }
 }
@@ -137,7 +137,7 @@
         assert!(matches!(failover.commit(&put("one")).await, Ok(Commit::Applied(_))));
         assert!(began.elapsed() < Duration::from_millis(200), "known to be away: {:?}", began.elapsed());
         assert!(rows.get("things", "", "one").is_some());
-        let since = Since { after: 0, wait_ms: 10, most: usize::MAX };
+        let since = FeedQuery { after: 0, wait_ms: 10, most: usize::MAX };
         assert!(matches!(failover.feed("things", since).await, Ok(Feed::Changes(_))));
 
         cut.set(Way::Open);
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -74,12 +74,12 @@
 impl Client {
     /// Makes a client without connections.
     pub fn new() -> Client {
-        Client::with_idle(IDLE_CONNECTIONS, IDLE_LIMIT)
+        Client::with_idle_limits(IDLE_CONNECTIONS, IDLE_LIMIT)
     }
 
     /// Makes a client that keeps at most so many unused connections to each peer, for at most `limit`: for those with many
     /// peers, each of which has to hold its end.
-    pub fn with_idle(connections: usize, limit: Duration) -> Client {
+    pub fn with_idle_limits(connections: usize, limit: Duration) -> Client {
         let pool = Pool::builder(Spawner)
             .pool_idle_timeout(limit)
             .pool_max_idle_per_host(connections)
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -37,7 +37,7 @@
     }
 
     /// Goes on by some time at once, as the clock of a machine does that was suspended for so long. For tests.
-    pub fn skip(&self, time: Duration) {
+    pub fn advance(&self, time: Duration) {
         self.skipped_ms.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
     }
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -19,5 +19,5 @@
 pub use client::{Answer, Client, Error, Fault};
 pub use clock::Clock;
 pub use pool::{Failure, Lease, Pool};
-pub use probe::{Reach, probe};
+pub use probe::{ProbeResult, probe};
 pub use server::{Handle, Limits, serve};
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -65,7 +65,7 @@
     /// Whether the request used a connection that had served others before.
     pub reused: bool,
     /// Whether it was not sent because it was not wanted any more.
-    pub is_unwanted: bool,
+    pub is_withdrawn: bool,
 }
 
 impl Pool {
@@ -94,7 +94,7 @@
             Some(sender) => (sender, true),
             None => {
                 let opened = self.open(step, peer, most).await;
-                (opened.map_err(|error| Failure { error, reused: false, is_unwanted: false })?, false)
+                (opened.map_err(|error| Failure { error, reused: false, is_withdrawn: false })?, false)
             }
         };
         if !is_wanted() {
@@ -102,7 +102,7 @@
             Lease { pool: self.0.clone(), peer, sender: Some(sender), until }.keep();
             let reason = "it is not wanted any more".to_owned();
             let error = Error { step, peer: peer.to_string(), fault: Fault::Unsent, reason };
-            return Err(Failure { error, reused, is_unwanted: true });
+            return Err(Failure { error, reused, is_withdrawn: true });
         }
         let answer = sender.try_send_request(request).await.map_err(|mut failure| {
             let fault = match failure.take_message() {
@@ -113,7 +113,7 @@
             Failure {
                 error: Error { step, peer: peer.to_string(), fault, reason },
                 reused,
-                is_unwanted: false,
+                is_withdrawn: false,
             }
         })?;
         let until = self.0.clock.now() + idle_time(answer.headers());
@@ -122,7 +122,7 @@
     }
 
     /// Connections to `peer` that are open now.
-    pub fn open_to(&self, peer: SocketAddr) -> usize {
+    pub fn open_connections(&self, peer: SocketAddr) -> usize {
         self.0.peers.lock().expect("the pool's lock").get(&peer).map_or(0, |entry| entry.open)
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Closes connections whose time has come, and forgets peers without any.
-    pub fn sweep(&self) {
+    pub fn evict_expired(&self) {
         let now = self.0.clock.now();
         let mut peers = self.0.peers.lock().expect("the pool's lock");
         for peer in peers.values_mut() {
--- a/crates/net/src/probe.rs
+++ b/crates/net/src/probe.rs
@@ -8,7 +8,7 @@
 
 /// What a connection attempt says of its peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reach {
+pub enum ProbeResult {
     /// A process accepts connections.
     Listens,
     /// The host is there, and no process listens.
@@ -17,22 +17,22 @@
     Silent,
 }
 
-impl Reach {
+impl ProbeResult {
     /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Reach::Listens => "listens",
-            Reach::Refuses => "refuses",
-            Reach::Silent => "silent",
+            ProbeResult::Listens => "listens",
+            ProbeResult::Refuses => "refuses",
+            ProbeResult::Silent => "silent",
         }
     }
 }
 
 /// Opens a connection to `peer` and closes it again, within `limit`.
-pub async fn probe(peer: SocketAddr, limit: Duration) -> Reach {
+pub async fn probe(peer: SocketAddr, limit: Duration) -> ProbeResult {
     match exec::timeout(limit, TcpStream::connect(peer)).await {
-        Some(Ok(_)) => Reach::Listens,
-        Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Reach::Refuses,
-        Some(Err(_)) | None => Reach::Silent,
+        Some(Ok(_)) => ProbeResult::Listens,
+        Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeResult::Refuses,
+        Some(Err(_)) | None => ProbeResult::Silent,
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -56,7 +56,7 @@
     }
 
     /// Connections open now.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
--- a/crates/net/tests/pool.rs
+++ b/crates/net/tests/pool.rs
@@ -1,7 +1,7 @@
 //! Kept connections, servers that are aborted, and what a connection attempt says.
 
 use http::{Request, Response};
-use net::{Body, Clock, Fault, Limits, Pool, Reach, exec};
+use net::{Body, Clock, Fault, Limits, Pool, ProbeResult, exec};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -47,7 +47,7 @@
         let suspended = clock.clone();
         exec::spawn(async move {
             exec::sleep(Duration::from_millis(100)).await;
-            suspended.skip(Duration::from_secs(60));
+            suspended.advance(Duration::from_secs(60));
         })
         .detach();
         let ended = clock.timeout(Duration::from_secs(30), std::future::pending::<()>()).await;
@@ -69,11 +69,11 @@
         net::collect(answer.into_body(), 100).await.expect("an empty body");
         lease.keep();
         exec::sleep(Duration::from_millis(50)).await;
-        pool.sweep();
-        assert_eq!(pool.open_to(peer), 1, "it is young");
-        clock.skip(Duration::from_secs(10));
-        pool.sweep();
-        until(|| pool.open_to(peer) == 0).await;
+        pool.evict_expired();
+        assert_eq!(pool.open_connections(peer), 1, "it is young");
+        clock.advance(Duration::from_secs(10));
+        pool.evict_expired();
+        until(|| pool.open_connections(peer) == 0).await;
     });
 }
 
@@ -83,8 +83,8 @@
         let (server, count) = serve().await;
         let (pool, peer) = (Pool::default(), server.address());
         let failure = pool.send("ask", peer, 1, request(), || false).await.expect_err("it is not sent");
-        assert!(failure.is_unwanted && failure.error.fault == Fault::Unsent, "{failure:?}");
-        assert_eq!((count.load(Ordering::Relaxed), pool.open_to(peer)), (0, 1));
+        assert!(failure.is_withdrawn && failure.error.fault == Fault::Unsent, "{failure:?}");
+        assert_eq!((count.load(Ordering::Relaxed), pool.open_connections(peer)), (0, 1));
         // The connection is kept once its task has run.
         until(|| pool.has_room(peer, 1)).await;
         assert!(pool.send("ask", peer, 1, request(), || true).await.is_ok());
@@ -97,13 +97,13 @@
     exec::block_on(async {
         let (server, _) = serve().await;
         let address = server.address();
-        assert_eq!(net::probe(address, LIMIT).await, Reach::Listens);
+        assert_eq!(net::probe(address, LIMIT).await, ProbeResult::Listens);
         let pool = Pool::default();
         let (_, lease) = pool.send("ask", address, 1, request(), || true).await.expect("an answer");
         lease.keep();
         server.abort();
         exec::sleep(Duration::from_millis(50)).await;
-        assert_eq!(net::probe(address, LIMIT).await, Reach::Refuses);
-        assert_eq!(pool.open_to(address), 0, "the kept connection is gone");
+        assert_eq!(net::probe(address, LIMIT).await, ProbeResult::Refuses);
+        assert_eq!(pool.open_connections(address), 0, "the kept connection is gone");
     });
 }
--- a/crates/roll/src/accept.rs
+++ b/crates/roll/src/accept.rs
@@ -1,9 +1,9 @@
 //! The transaction that accepts a bundle, and reading what was accepted.
 
-use crate::{Accepted, HEAD, LOG, Package, log_key, object_key};
+use crate::{Accepted, HEAD_KEY, LOG_PREFIX, Package, log_key, object_key};
 use bundle::{Bundle, Change, Manifest, Signed};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use store::{Row, Services, Tx, Verdict};
+use store::{Platform, Row, Tx, TxOutcome};
 use uuid::Uuid;
 
 /// Attempts before a roll is given up.
@@ -51,14 +51,14 @@
 ///
 /// # Errors
 /// Fails if the platform does.
-pub async fn current(platform: &impl Services) -> Result<Option<Accepted>, Error> {
+pub async fn current(platform: &impl Platform) -> Result<Option<Accepted>, Error> {
     Ok(read_head(platform).await?.1)
 }
 
-async fn read_head(platform: &impl Services) -> Result<(Option<Row>, Option<Accepted>), Error> {
-    let row = platform.read(&[HEAD.to_owned()]).await?.into_iter().next().flatten();
+async fn read_head(platform: &impl Platform) -> Result<(Option<Row>, Option<Accepted>), Error> {
+    let row = platform.read(&[HEAD_KEY.to_owned()]).await?.into_iter().next().flatten();
     let accepted = match &row {
-        Some(row) => Some(decode(HEAD, row)?),
+        Some(row) => Some(decode(HEAD_KEY, row)?),
         None => None,
     };
     Ok((row, accepted))
@@ -72,8 +72,8 @@
 ///
 /// # Errors
 /// Fails if the platform does.
-pub async fn history(platform: &impl Services) -> Result<Vec<Accepted>, Error> {
-    let rows = platform.scan(LOG).await?;
+pub async fn history(platform: &impl Platform) -> Result<Vec<Accepted>, Error> {
+    let rows = platform.scan(LOG_PREFIX).await?;
     rows.iter().map(|(key, row)| decode(key, row)).collect()
 }
 
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 /// Fails if there is no such sequence, or the platform does.
-pub async fn load(platform: &impl Services, sequence: u64) -> Result<Bundle, Error> {
+pub async fn load(platform: &impl Platform, sequence: u64) -> Result<Bundle, Error> {
     let key = log_key(sequence);
     let row = platform.read(std::slice::from_ref(&key)).await?.into_iter().next().flatten();
     let accepted = decode(&key, &row.ok_or(Error::NoSequence(sequence))?)?;
@@ -100,7 +100,7 @@
     Ok(bundle::join(&manifest, |digest| parts.get(digest).map(String::as_str), |_| None)?)
 }
 
-async fn object(platform: &impl Services, digest: &str) -> Result<String, Error> {
+async fn object(platform: &impl Platform, digest: &str) -> Result<String, Error> {
     let key = object_key(digest);
     let bytes = platform.load(&key).await?;
     let text = bytes.and_then(|bytes| String::from_utf8(bytes).ok());
@@ -112,7 +112,7 @@
 /// # Errors
 /// See [`Error`]; after any but [`Error::Unknown`] the bundle was not accepted.
 pub async fn roll(
-    platform: &impl Services,
+    platform: &impl Platform,
     package: &Package,
     trusted: &[String],
     needed: usize,
@@ -148,7 +148,7 @@
     Err(Error::Conflict { parent: manifest.parent, current })
 }
 
-async fn store(platform: &impl Services, package: &Package) -> Result<(), Error> {
+async fn store(platform: &impl Platform, package: &Package) -> Result<(), Error> {
     for (digest, json) in &package.sections {
         if platform.load(&object_key(digest)).await?.is_none() {
             platform.store(&object_key(digest), json.clone().into_bytes()).await?;
@@ -161,7 +161,7 @@
 
 /// Moves the head on; repeated until the outcome is known.
 async fn commit(
-    platform: &impl Services,
+    platform: &impl Platform,
     manifest: &Manifest,
     accepted: Accepted,
 ) -> Result<Accepted, Error> {
@@ -184,7 +184,7 @@
 
 /// One attempt; `None` means that it has to be made again.
 async fn attempt(
-    platform: &impl Services,
+    platform: &impl Platform,
     manifest: &Manifest,
     accepted: &Accepted,
     key: &str,
@@ -196,9 +196,13 @@
         return Ok(Some(()));
     }
     follow(manifest, head.as_ref())?;
-    let tx = Tx::default().unchanged(HEAD, row.as_ref()).absent(key).put(HEAD, accepted).put(key, accepted);
+    let tx = Tx::default()
+        .require_unchanged(HEAD_KEY, row.as_ref())
+        .require_absent(key)
+        .put(HEAD_KEY, accepted)
+        .put(key, accepted);
     match platform.commit(&tx).await? {
-        Verdict::Applied => Ok(Some(())),
-        Verdict::Conflict => Ok(None),
+        TxOutcome::Applied => Ok(Some(())),
+        TxOutcome::Conflict => Ok(None),
     }
 }
--- a/crates/roll/src/lib.rs
+++ b/crates/roll/src/lib.rs
@@ -23,9 +23,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The row of the accepted sequence.
-pub const HEAD: &str = "bundle/head";
+pub const HEAD_KEY: &str = "bundle/head";
 /// The start of the keys of the log.
-pub const LOG: &str = "bundle/log/";
+pub const LOG_PREFIX: &str = "bundle/log/";
 
 /// The content of the head row, and of each row of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -49,7 +49,7 @@
 
 /// The key of a row of the log.
 pub fn log_key(sequence: u64) -> String {
-    format!("{LOG}{sequence:012}")
+    format!("{LOG_PREFIX}{sequence:012}")
 }
 
 /// The key of an object by its digest.
--- a/crates/roll/src/package.rs
+++ b/crates/roll/src/package.rs
@@ -18,7 +18,7 @@
     /// Packs a bundle that follows sequence `parent`; nobody has signed it yet.
     pub fn new(bundle: &Bundle, parent: u64, rollback_to: Option<u64>, note: &str) -> Package {
         let parts = bundle::split(bundle);
-        let top = parts.iter().filter(|part| bundle::is_top(&part.name));
+        let top = parts.iter().filter(|part| bundle::is_named_by_manifest(&part.name));
         let names = top.map(|part| (part.name.clone(), bundle::digest(&part.json))).collect();
         let manifest = Manifest { parent, rollback_to, sections: names, note: note.to_owned() };
         let sections = parts.into_iter().map(|part| (bundle::digest(&part.json), part.json)).collect();
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -16,7 +16,7 @@
 use hyper::body::Bytes;
 use net::exec;
 use std::net::SocketAddr;
-use upstream::{Call, Engine, Event, Events, Fault, Outcome, Reply, Usage};
+use upstream::{Call, CancelOutcome, Engine, Event, Events, Fault, Reply, Usage};
 
 /// How often a stream is taken up again at the same engine.
 const RESUMES: u32 = 3;
@@ -239,11 +239,11 @@
     async fn break_off(&self, sent: Sent, reason: &str) -> Next {
         let node = &self.node;
         match node.engine.cancel(sent.peer, &sent.run).await {
-            Ok(Outcome::Stopped(usage)) => {
+            Ok(CancelOutcome::Stopped(usage)) => {
                 self.charge(usage.total());
                 slot::end(node, sent.slot);
             }
-            Ok(Outcome::Unseen) | Err(_) => self.hold(sent, Some(self.bill(0))),
+            Ok(CancelOutcome::Unseen) | Err(_) => self.hold(sent, Some(self.bill(0))),
         }
         let message = format!("the answer broke off at the upstream: {reason}");
         let refusal = Refusal::not_run(StatusCode::BAD_GATEWAY, "upstream_broke", "stream", message)
@@ -258,12 +258,12 @@
         let node = &self.node;
         node.note(&self.entry.id, "the caller went away");
         let execution = match node.engine.cancel(sent.peer, &sent.run).await {
-            Ok(Outcome::Stopped(usage)) => {
+            Ok(CancelOutcome::Stopped(usage)) => {
                 self.charge(usage.total());
                 slot::end(node, sent.slot);
                 Execution::Ran
             }
-            Ok(Outcome::Unseen) => {
+            Ok(CancelOutcome::Unseen) => {
                 node.grants.release(&self.entry.access.budget, self.ask.worst);
                 slot::end(node, sent.slot);
                 Execution::NotRun
@@ -288,18 +288,18 @@
                 .retry_after(FAILED_RETRY_MS)
         };
         match node.engine.cancel(sent.peer, &sent.run).await {
-            Ok(Outcome::Unseen) => {
+            Ok(CancelOutcome::Unseen) => {
                 slot::end(node, sent.slot);
                 Next::Elsewhere(reason)
             }
-            Ok(Outcome::Stopped(usage)) if model.repeatable => {
+            Ok(CancelOutcome::Stopped(usage)) if model.repeatable => {
                 // A new reservation is taken for the next run; what this one consumed stays held.
                 slot::end(node, sent.slot);
                 node.grants.waste(budget, self.ask.worst, usage.total());
                 node.metrics.wasted.inc_by(usage.total());
                 Next::Anew(reason, Execution::Ran)
             }
-            Ok(Outcome::Stopped(usage)) => {
+            Ok(CancelOutcome::Stopped(usage)) => {
                 slot::end(node, sent.slot);
                 self.charge(usage.total());
                 Next::Refuse(failed(Execution::Ran))
@@ -338,8 +338,8 @@
                     continue;
                 };
                 let tokens = match outcome {
-                    Outcome::Unseen => 0,
-                    Outcome::Stopped(usage) => usage.total(),
+                    CancelOutcome::Unseen => 0,
+                    CancelOutcome::Stopped(usage) => usage.total(),
                 };
                 let bill = bill.map(|bill| Charge { tokens, ..bill });
                 if bill.is_none() {
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -18,7 +18,7 @@
 use hyper::body::Bytes;
 use net::{Body, exec};
 use std::sync::Arc;
-use store::{Row, Table, Tx, Verdict};
+use store::{Row, Table, Tx, TxOutcome};
 
 /// How long a claim is tried before the request is refused, in milliseconds.
 const CLAIM_MS: u64 = 2_000;
@@ -57,13 +57,13 @@
                     ClaimDecision::Attach(claim) => return Ok(Claimed::By(claim)),
                     ClaimDecision::Insert => execution = Execution::NotRun,
                 }
-                let tx = Tx::default().absent(&row_key).put(&row_key, &claim);
+                let tx = Tx::default().require_absent(&row_key).put(&row_key, &claim);
                 match node.platform.commit(&tx).await {
-                    Ok(Verdict::Applied) => {
+                    Ok(TxOutcome::Applied) => {
                         node.count_platform("claim", "applied");
                         return Ok(Claimed::Ours);
                     }
-                    Ok(Verdict::Conflict) => continue,
+                    Ok(TxOutcome::Conflict) => continue,
                     Err(error) => reason = error.to_string(),
                 }
             }
@@ -96,8 +96,8 @@
             if known.is_some_and(|known| matches!(known.state, ClaimState::Done(_))) {
                 return;
             }
-            let tx = Tx::default().unchanged(&row_key, row.as_ref()).put(&row_key, &claim);
-            if matches!(node.platform.commit(&tx).await, Ok(Verdict::Applied)) {
+            let tx = Tx::default().require_unchanged(&row_key, row.as_ref()).put(&row_key, &claim);
+            if matches!(node.platform.commit(&tx).await, Ok(TxOutcome::Applied)) {
                 return;
             }
         }
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -157,7 +157,7 @@
 
     /// How many upstreams serve the model.
     fn serving(&self) -> usize {
-        let upstreams = self.entry.bundle.content.serving();
+        let upstreams = self.entry.bundle.content.active_upstreams();
         upstreams.filter(|(_, upstream)| upstream.models.contains(&self.ask.model)).count()
     }
 
--- a/crates/router/src/keep.rs
+++ b/crates/router/src/keep.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
-use store::{Role, Table, Tx, Verdict, Vm};
+use store::{Role, Table, Tx, TxOutcome, Vm};
 
 /// Keepings and promises.
 #[derive(Debug, Default)]
@@ -191,14 +191,14 @@
         pools.insert(budget.clone(), pool.map_err(|error| error.to_string())?.unwrap_or_default());
     }
     let released = close_account(&mut account, &mut pools).map_err(|error| error.to_string())?;
-    let mut tx = Tx::default().unchanged(&key, Some(&row)).put(&key, &account);
+    let mut tx = Tx::default().require_unchanged(&key, Some(&row)).put(&key, &account);
     for (budget, row) in budgets.iter().zip(&rows) {
         let key = pool_key(budget);
-        tx = tx.unchanged(&key, row.as_ref()).put(&key, &pools[budget]);
+        tx = tx.require_unchanged(&key, row.as_ref()).put(&key, &pools[budget]);
     }
     match node.platform.commit(&tx).await {
-        Ok(Verdict::Applied) => Ok(Some(released)),
-        Ok(Verdict::Conflict) => Err("another write was faster".to_owned()),
+        Ok(TxOutcome::Applied) => Ok(Some(released)),
+        Ok(TxOutcome::Conflict) => Err("another write was faster".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
--- a/crates/router/src/leaving.rs
+++ b/crates/router/src/leaving.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use store::{List, Role, Vm};
+use store::{Role, Vm, VmList};
 use upstream::Engine;
 
 /// Load reports that one router asks for in a second, however many upstreams it uses.
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -11,7 +11,7 @@
 use peer::{Beat, LinkClient, Member};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use store::{List, Role};
+use store::{Role, VmList};
 
 /// Routers that get heartbeats from one router, whatever the size of the fleet.
 const FANOUT: usize = 6;
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -343,7 +343,7 @@
             exec::sleep(millis(DRAIN_LOOK_MS)).await;
         }
         self.callers.stop();
-        while self.callers.open() > 0 {
+        while self.callers.open_connections() > 0 {
             exec::sleep(millis(DRAIN_LOOK_MS)).await;
         }
         node.closed.store(true, Ordering::Relaxed);
--- a/crates/router/src/ports.rs
+++ b/crates/router/src/ports.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Clock;
 use std::fmt::Debug;
-use store::Services;
+use store::Platform;
 use upstream::Engine;
 
 /// A choice of adapters.
@@ -23,5 +23,5 @@
     /// The upstreams.
     type Engine: Engine;
     /// The platform's services.
-    type Platform: Services;
+    type Platform: Platform;
 }
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -50,11 +50,11 @@
     pub(crate) fn configure(&self, bundle: &Bundle, view: &View, me: &str) {
         let sharers = view.sharers();
         let upstreams: Vec<(&str, u32)> =
-            bundle.serving().map(|(name, upstream)| (name, upstream.slots)).collect();
+            bundle.active_upstreams().map(|(name, upstream)| (name, upstream.slots)).collect();
         let shares = assign(&upstreams, &sharers);
         let mut state = self.lock();
         let mut mine = HashSet::new();
-        for (name, upstream) in bundle.serving() {
+        for (name, upstream) in bundle.active_upstreams() {
             let owners = &shares[name];
             if let Some((_, slots)) = owners.iter().find(|(owner, _)| *owner == me) {
                 mine.insert(name);
@@ -162,7 +162,7 @@
     /// The upstream that all routers prefer for a prefix, and the routers that own it.
     pub(crate) fn home(&self, bundle: &Bundle, model: &str, prefix: u64) -> Option<(String, Vec<String>)> {
         let serving: Vec<&str> = bundle
-            .serving()
+            .active_upstreams()
             .filter(|(_, upstream)| upstream.models.iter().any(|one| one == model))
             .map(|(name, _)| name)
             .collect();
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -142,12 +142,12 @@
     /// Returns every mistake, in the order of the lines.
     pub fn read(text: &str) -> Result<Settings, Vec<Mistake>> {
         let built = yaml::read(text, |reader, mut root| {
-            let name = reader.need(&mut root, "name");
-            let data_centre = reader.need(&mut root, "data-centre");
-            let listen = reader.need(&mut root, "listen");
-            let platform = reader.need(&mut root, "platform");
-            let trust = reader.need(&mut root, "trust");
-            let fleet_keys = reader.need(&mut root, "fleet-keys");
+            let name = reader.require(&mut root, "name");
+            let data_centre = reader.require(&mut root, "data-centre");
+            let listen = reader.require(&mut root, "listen");
+            let platform = reader.require(&mut root, "platform");
+            let trust = reader.require(&mut root, "trust");
+            let fleet_keys = reader.require(&mut root, "fleet-keys");
             let seeds = reader.take(&mut root, "seeds").unwrap_or_default();
             let limits = reader.take(&mut root, "limits").unwrap_or_default();
             reader.finish(&root, KEYS);
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -8,11 +8,11 @@
 use bundle::{Bundle, Manifest, Signed};
 use net::exec;
 use peer::{Beat, LinkClient};
-use roll::{Accepted, HEAD, object_key};
+use roll::{Accepted, HEAD_KEY, object_key};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use store::{Store, Table};
+use store::{ObjectStore, Table};
 
 /// Reads of the head that all routers together make in a second.
 const FLEET_RATE: u64 = 400;
@@ -43,7 +43,7 @@
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>) {
     membership::introduce(&node).await;
     while !node.is_closed() {
-        match node.platform.read(&[HEAD.to_owned()]).await {
+        match node.platform.read(&[HEAD_KEY.to_owned()]).await {
             Ok(rows) => {
                 let head = rows.into_iter().next().flatten();
                 if let Some(head) = head.and_then(|row| row.decode::<Accepted>().ok()) {
--- a/crates/router/src/sync.rs
+++ b/crates/router/src/sync.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use store::{Error, Fault, Row, Table, Tx, Verdict};
+use store::{Error, Fault, Row, Table, Tx, TxOutcome};
 
 /// Settlements a second that all routers together may ask of the platform.
 const FLEET_RATE: u64 = 280;
@@ -159,10 +159,12 @@
     }
 
     let mut tx = Tx::default();
-    tx = tx.unchanged(&account_key, read.get(account_key.as_str()).copied()).put(&account_key, &account);
+    tx = tx
+        .require_unchanged(&account_key, read.get(account_key.as_str()).copied())
+        .put(&account_key, &account);
     for (budget, pool) in &pools {
         let key = pool_key(budget);
-        tx = tx.unchanged(&key, read.get(key.as_str()).copied()).put(&key, pool);
+        tx = tx.require_unchanged(&key, read.get(key.as_str()).copied()).put(&key, pool);
     }
     for (budget, entry) in &batch.entries {
         for charge in &entry.charges {
@@ -170,17 +172,17 @@
             let key = identity_key("charge", budget, text);
             let row = Charged { request: charge.request.clone(), tokens: charge.tokens };
             tx = match read.get(key.as_str()) {
-                Some(_) => tx.unchanged(&key, read.get(key.as_str()).copied()),
-                None => tx.absent(&key).put(&key, &row),
+                Some(_) => tx.require_unchanged(&key, read.get(key.as_str()).copied()),
+                None => tx.require_absent(&key).put(&key, &row),
             };
         }
     }
     match node.platform.commit(&tx).await {
-        Ok(Verdict::Applied) => {
+        Ok(TxOutcome::Applied) => {
             node.count_platform("settle", "applied");
             Attempt::Posted(account, pools)
         }
-        Ok(Verdict::Conflict) => Attempt::Conflict,
+        Ok(TxOutcome::Conflict) => Attempt::Conflict,
         Err(error) => Attempt::Failed(error),
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use upstream::{CacheEvent, Load, Obeyed, Order, Outcome, Usage};
+use upstream::{CacheEvent, CancelOutcome, Load, Order, OrderOutcome, Usage};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The largest request body in bytes.
@@ -543,11 +543,11 @@
                 run.ended = true;
                 run.changed.notify(usize::MAX);
             }
-            reply(&Outcome::Stopped(usage(run)))
+            reply(&CancelOutcome::Stopped(usage(run)))
         }
         None => {
             state.refused.push(id.to_owned());
-            reply(&Outcome::Unseen)
+            reply(&CancelOutcome::Unseen)
         }
     }
 }
@@ -579,10 +579,10 @@
     };
     let mut state = lock(state);
     if state.shape.fences && order.fence < state.fence {
-        return reply(&Obeyed::Stale);
+        return reply(&OrderOutcome::Stale);
     }
     state.fence = state.fence.max(order.fence);
     state.shape.models.clone_from(&order.models);
     state.ledger.orders.push(order);
-    reply(&Obeyed::Yes)
+    reply(&OrderOutcome::Yes)
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use store::{Row, Tx, Verdict, Vm};
+use store::{Row, Tx, TxOutcome, Vm};
 
 /// The largest request body in bytes.
 const BODY_LIMIT: usize = 64 << 20;
@@ -231,11 +231,11 @@
     }
 }
 
-fn commit(state: &mut State, tx: Tx) -> Verdict {
+fn commit(state: &mut State, tx: Tx) -> TxOutcome {
     let version = |key: &str| state.rows.get(key).map_or(0, |row| row.version);
     if !tx.checks.iter().all(|check| version(&check.key) == check.version) {
         state.counts.conflicts += 1;
-        return Verdict::Conflict;
+        return TxOutcome::Conflict;
     }
     state.counts.writes += 1;
     state.counts.rows += tx.puts.len() as u64;
@@ -243,7 +243,7 @@
         let version = state.rows.get(&put.key).map_or(0, |row| row.version) + 1;
         state.rows.insert(put.key, Row { version, value: put.value });
     }
-    Verdict::Applied
+    TxOutcome::Applied
 }
 
 fn object(state: &mut State, path: &str, write: bool, body: &Bytes) -> Response<Body> {
--- a/crates/standin/src/rows.rs
+++ b/crates/standin/src/rows.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use store::rows::{Change, Commit, Feed, Key, Page, Record, Rows, Since};
+use store::rows::{Change, Commit, Feed, FeedQuery, Key, Page, Record, Rows};
 use store::{Error, Fault};
 
 /// How often a waiting watch looks for changes.
@@ -205,8 +205,8 @@
         Ok(Page { records: records.collect(), version: state.version, now_ms: self.now_ms() })
     }
 
-    async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
-        let Since { after, wait_ms, most } = since;
+    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
+        let FeedQuery { after, wait_ms, most } = since;
         let until = Instant::now() + Duration::from_millis(wait_ms);
         loop {
             {
--- a/crates/store/src/http_adapter.rs
+++ b/crates/store/src/http_adapter.rs
@@ -1,6 +1,6 @@
 //! The adapter that speaks the platform's HTTP interface.
 
-use crate::{Error, Fault, List, Row, Store, Table, Tx, Verdict, Vm};
+use crate::{Error, Fault, ObjectStore, Row, Table, Tx, TxOutcome, Vm, VmList};
 use http::{Method, Request, Response};
 use net::{Body, Client};
 use serde::Serialize;
@@ -84,12 +84,12 @@
         self.json("scan", Method::POST, "/table/scan", &prefix).await
     }
 
-    async fn commit(&self, tx: &Tx) -> Result<Verdict, Error> {
+    async fn commit(&self, tx: &Tx) -> Result<TxOutcome, Error> {
         self.json("commit", Method::POST, "/table/commit", tx).await
     }
 }
 
-impl Store for Http {
+impl ObjectStore for Http {
     async fn store(&self, key: &str, bytes: Vec<u8>) -> Result<(), Error> {
         self.call("store", Method::PUT, &format!("/object/{key}"), bytes).await.map(drop)
     }
@@ -100,7 +100,7 @@
     }
 }
 
-impl List for Http {
+impl VmList for Http {
     async fn list(&self) -> Result<Vec<Vm>, Error> {
         self.json("list", Method::GET, "/vms", &()).await
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! ```
 //! use store::Tx;
-//! let tx = Tx::default().absent("claim/radar/k1").put("claim/radar/k1", &"holder");
+//! let tx = Tx::default().require_absent("claim/radar/k1").put("claim/radar/k1", &"holder");
 //! assert_eq!(tx.puts[0].value, "\"holder\"");
 //! ```
 
@@ -92,7 +92,7 @@
 impl Tx {
     /// Requires that the row is as it was read.
     #[must_use]
-    pub fn unchanged(mut self, key: impl Into<String>, read: Option<&Row>) -> Tx {
+    pub fn require_unchanged(mut self, key: impl Into<String>, read: Option<&Row>) -> Tx {
         let version = read.map_or(0, |row| row.version);
         self.checks.push(Check { key: key.into(), version });
         self
@@ -100,8 +100,8 @@
 
     /// Requires that the row is absent.
     #[must_use]
-    pub fn absent(self, key: impl Into<String>) -> Tx {
-        self.unchanged(key, None)
+    pub fn require_absent(self, key: impl Into<String>) -> Tx {
+        self.require_unchanged(key, None)
     }
 
     /// Writes a row.
@@ -119,7 +119,7 @@
 /// The platform's verdict on a transaction.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum TxOutcome {
     /// It took effect.
     Applied,
     /// A check failed; nothing was written.
@@ -135,11 +135,11 @@
     fn scan(&self, prefix: &str) -> impl Future<Output = Result<BTreeMap<String, Row>, Error>> + Send;
 
     /// Carries out a transaction.
-    fn commit(&self, tx: &Tx) -> impl Future<Output = Result<Verdict, Error>> + Send;
+    fn commit(&self, tx: &Tx) -> impl Future<Output = Result<TxOutcome, Error>> + Send;
 }
 
 /// The object store.
-pub trait Store: Clone + Send + Sync + 'static {
+pub trait ObjectStore: Clone + Send + Sync + 'static {
     /// Writes an object whole.
     fn store(&self, key: &str, bytes: Vec<u8>) -> impl Future<Output = Result<(), Error>> + Send;
 
@@ -174,12 +174,12 @@
 }
 
 /// The list of live and leaving VMs.
-pub trait List: Clone + Send + Sync + 'static {
+pub trait VmList: Clone + Send + Sync + 'static {
     /// Reads the list, routers and upstreams alike.
     fn list(&self) -> impl Future<Output = Result<Vec<Vm>, Error>> + Send;
 }
 
 /// Everything that the platform gives.
-pub trait Services: List + Store + Table {}
+pub trait Platform: VmList + ObjectStore + Table {}
 
-impl<T: List + Store + Table> Services for T {}
+impl<T: VmList + ObjectStore + Table> Platform for T {}
--- a/crates/store/src/rows.rs
+++ b/crates/store/src/rows.rs
@@ -84,7 +84,7 @@
 
 /// What a watch of a table asks for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Since {
+pub struct FeedQuery {
     /// Changes after this version.
     pub after: u64,
     /// How long to wait for one, in milliseconds.
@@ -105,7 +105,7 @@
     }
 
     /// Whether both count the same answer.
-    pub fn is(&self, other: &Progress) -> bool {
+    pub fn is_same(&self, other: &Progress) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 
@@ -124,11 +124,11 @@
     fn list(&self, table: &str, part: &str) -> impl Future<Output = Result<Page, Error>> + Send;
 
     /// Waits for rows of a table that changed.
-    fn feed(&self, table: &str, since: Since) -> impl Future<Output = Result<Feed, Error>> + Send;
+    fn feed(&self, table: &str, since: FeedQuery) -> impl Future<Output = Result<Feed, Error>> + Send;
 
     /// The same service, which tells `progress` of the bytes that answers to reads bring, if it can.
     #[must_use]
-    fn reporting(&self, progress: &Progress) -> Self {
+    fn with_progress(&self, progress: &Progress) -> Self {
         let _ = progress;
         self.clone()
     }
--- a/crates/upstream/src/http_adapter.rs
+++ b/crates/upstream/src/http_adapter.rs
@@ -1,6 +1,6 @@
 //! The adapter for engines that speak the OpenAI-shaped protocol over HTTP.
 
-use crate::{Call, Engine, Error, Events, Fault, Load, Obeyed, Order, Outcome, Reply};
+use crate::{Call, CancelOutcome, Engine, Error, Events, Fault, Load, Order, OrderOutcome, Reply};
 use http::header::CONTENT_TYPE;
 use http::{Method, Request, Response};
 use hyper::body::Incoming;
@@ -133,7 +133,7 @@
         Err(Error { step: "resume", peer, fault: Fault::Unknown, reason })
     }
 
-    async fn cancel(&self, peer: SocketAddr, run: &str) -> Result<Outcome, Error> {
+    async fn cancel(&self, peer: SocketAddr, run: &str) -> Result<CancelOutcome, Error> {
         self.json("cancel", peer, Method::DELETE, &format!("/v1/streams/{run}"), vec![]).await
     }
 
@@ -141,7 +141,7 @@
         self.json("load", peer, Method::GET, "/v1/load", vec![]).await
     }
 
-    async fn order(&self, peer: SocketAddr, order: &Order) -> Result<Obeyed, Error> {
+    async fn order(&self, peer: SocketAddr, order: &Order) -> Result<OrderOutcome, Error> {
         let body = serde_json::to_vec(order).unwrap_or_default();
         self.json("order", peer, Method::POST, "/v1/orders", body).await
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -103,7 +103,7 @@
 /// How a run stood when it was cancelled.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Outcome {
+pub enum CancelOutcome {
     /// The engine never saw the run, and will refuse it from now on.
     Unseen,
     /// The run was stopped or had ended with this usage.
@@ -151,7 +151,7 @@
 /// The engine's reaction to an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Obeyed {
+pub enum OrderOutcome {
     /// It will carry the order out, or has.
     Yes,
     /// It saw an order with a higher fencing number.
@@ -172,13 +172,21 @@
     ) -> impl Future<Output = Result<Events, Error>> + Send;
 
     /// Stops a run and learns what it used.
-    fn cancel(&self, peer: SocketAddr, run: &str) -> impl Future<Output = Result<Outcome, Error>> + Send;
+    fn cancel(
+        &self,
+        peer: SocketAddr,
+        run: &str,
+    ) -> impl Future<Output = Result<CancelOutcome, Error>> + Send;
 
     /// Reads the load report.
     fn load(&self, peer: SocketAddr) -> impl Future<Output = Result<Load, Error>> + Send;
 
     /// Gives an order.
-    fn order(&self, peer: SocketAddr, order: &Order) -> impl Future<Output = Result<Obeyed, Error>> + Send;
+    fn order(
+        &self,
+        peer: SocketAddr,
+        order: &Order,
+    ) -> impl Future<Output = Result<OrderOutcome, Error>> + Send;
 
     /// Passes a request on to a plain service, or to another router, and hands back the answer as it comes.
     fn forward(
--- a/crates/yaml/src/lib.rs
+++ b/crates/yaml/src/lib.rs
@@ -115,7 +115,7 @@
     }
 
     /// As [`Reader::take`], but absence is a mistake.
-    pub fn need<T: DeserializeOwned>(&mut self, root: &mut Mapping, key: &str) -> Option<T> {
+    pub fn require<T: DeserializeOwned>(&mut self, root: &mut Mapping, key: &str) -> Option<T> {
         if !root.contains_key(key) {
             self.add(&[key], "is missing");
         }
--- a/src/cmd/ctl/explain.rs
+++ b/src/cmd/ctl/explain.rs
@@ -47,7 +47,7 @@
         }
         let story = story(lines, &self.id);
         if story.is_empty() {
-            return Err(Error::Mistakes(format!("no line of these logs names the request {}", self.id)));
+            return Err(Error::Invalid(format!("no line of these logs names the request {}", self.id)));
         }
         story.iter().for_each(|line| println!("{line}"));
         Ok(())
--- a/src/cmd/ctl/mod.rs
+++ b/src/cmd/ctl/mod.rs
@@ -15,7 +15,7 @@
 pub use explain::Explain;
 pub use key::NewKey;
 pub use log::Log;
-pub use quarantine::{Denied, Lift};
+pub use quarantine::{LiftDenials, ListDenials};
 pub use roll::Roll;
 pub use sign::{Rollback, Sign};
 pub use status::Status;
@@ -39,10 +39,10 @@
 
 fn read_secret(path: &Path) -> Result<Secret, Error> {
     Secret::from_hex(&read_file(path)?)
-        .map_err(|error| Error::Mistakes(format!("{}: {error}", path.display())))
+        .map_err(|error| Error::Invalid(format!("{}: {error}", path.display())))
 }
 
 fn read_package(path: &Path) -> Result<Package, Error> {
     serde_json::from_str(&read_file(path)?)
-        .map_err(|error| Error::Mistakes(format!("{}: not a signed package: {error}", path.display())))
+        .map_err(|error| Error::Invalid(format!("{}: not a signed package: {error}", path.display())))
 }
--- a/src/cmd/ctl/quarantine.rs
+++ b/src/cmd/ctl/quarantine.rs
@@ -8,7 +8,7 @@
 
 /// The arguments of `quarantine list`.
 #[derive(Clone, Debug)]
-pub struct Denied {
+pub struct ListDenials {
     /// A gateway's settings file.
     pub settings: PathBuf,
     /// Prints JSON.
@@ -17,14 +17,14 @@
 
 /// The arguments of `quarantine lift`.
 #[derive(Clone, Debug)]
-pub struct Lift {
+pub struct LiftDenials {
     /// A fingerprint, or `all`.
     pub which: String,
     /// A gateway's settings file.
     pub settings: PathBuf,
 }
 
-impl Denied {
+impl ListDenials {
     /// Lists the requests that are denied since upstreams ended under them.
     ///
     /// # Errors
@@ -38,7 +38,7 @@
     }
 }
 
-impl Lift {
+impl LiftDenials {
     /// Lifts denials: gateways let the requests run again within seconds.
     ///
     /// # Errors
@@ -47,13 +47,13 @@
         let which = match self.which.as_str() {
             "all" => Which::All,
             text => Which::One(
-                text.parse().map_err(|error| Error::Mistakes(format!("{error}; say `all` for all")))?,
+                text.parse().map_err(|error| Error::Invalid(format!("{error}; say `all` for all")))?,
             ),
         };
         let rows = rows(&self.settings)?;
         let lifted = net::exec::block_on(denials::lift(&rows, which))?;
         if lifted.is_empty() && which != Which::All {
-            return Err(Error::Mistakes(format!("{} is not denied", self.which)));
+            return Err(Error::Invalid(format!("{} is not denied", self.which)));
         }
         lifted.iter().for_each(|denial| println!("lifted {}", denial.fingerprint));
         Ok(())
--- a/src/cmd/ctl/status.rs
+++ b/src/cmd/ctl/status.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::Duration;
-use store::{List, Role};
+use store::{Role, VmList};
 
 /// The arguments of `bundle status`.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     pub fn execute(&self) -> Result<(), Error> {
         let settings = read_settings(&self.settings)?;
         let key = settings.fleet_keys.first().map(String::as_str).unwrap_or_default();
-        let key = FleetKey::new(key).map_err(|error| Error::Mistakes(error.to_string()))?;
+        let key = FleetKey::new(key).map_err(|error| Error::Invalid(error.to_string()))?;
         let peers = Peers::new(key, Duration::from_millis(settings.limits.peer_ms));
         let rows = net::exec::block_on(async {
             let mut rows = vec![];
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -38,7 +38,7 @@
     fn path(&self) -> Result<PathBuf, Error> {
         let named = || std::env::var_os(platform::SETTINGS_VARIABLE).map(PathBuf::from);
         self.settings.clone().or_else(named).ok_or_else(|| {
-            Error::Mistakes(format!(
+            Error::Invalid(format!(
                 "no settings file is named, and {} is not set",
                 platform::SETTINGS_VARIABLE
             ))
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -20,7 +20,7 @@
 /// The exit code for a failure that asking again later may mend.
 pub const EXIT_FAILED: u8 = 1;
 /// The exit code for a mistake in a file or on the command line.
-pub const EXIT_MISTAKE: u8 = 2;
+pub const EXIT_INVALID: u8 = 2;
 /// The exit code for a bundle that another one overtook.
 pub const EXIT_CONFLICT: u8 = 3;
 /// The exit code for an outcome that could not be learned.
@@ -39,7 +39,7 @@
     },
     /// A file is wrong; the text has a line for each mistake.
     #[error("{0}")]
-    Mistakes(String),
+    Invalid(String),
     /// A process could not run.
     #[error("{step}: {source}")]
     Run {
@@ -60,10 +60,10 @@
     /// The exit code that tells scripts what to do.
     pub fn exit_code(&self) -> ExitCode {
         let code = match self {
-            Error::File { .. } | Error::Mistakes(_) => EXIT_MISTAKE,
+            Error::File { .. } | Error::Invalid(_) => EXIT_INVALID,
             Error::Roll(roll::Error::Conflict { .. }) => EXIT_CONFLICT,
             Error::Roll(roll::Error::Unknown(_)) => EXIT_UNKNOWN,
-            Error::Roll(roll::Error::Bundle(_) | roll::Error::Refused(_)) => EXIT_MISTAKE,
+            Error::Roll(roll::Error::Bundle(_) | roll::Error::Refused(_)) => EXIT_INVALID,
             Error::Run { .. } | Error::Roll(_) | Error::Platform(_) => EXIT_FAILED,
         };
         ExitCode::from(code)
@@ -101,5 +101,5 @@
 
 fn mistakes_in(path: &Path, mistakes: &[bundle::Mistake]) -> Error {
     let lines = mistakes.iter().map(|mistake| format!("{}: {mistake}", path.display()));
-    Error::Mistakes(lines.collect::<Vec<_>>().join("\n"))
+    Error::Invalid(lines.collect::<Vec<_>>().join("\n"))
 }
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -1,7 +1,9 @@
 //! The operators' tool.
 
 use std::process::ExitCode;
-use tallypaddle::cmd::ctl::{Check, Denied, Diff, Explain, Lift, Log, NewKey, Roll, Rollback, Sign, Status};
+use tallypaddle::cmd::ctl::{
+    Check, Diff, Explain, LiftDenials, ListDenials, Log, NewKey, Roll, Rollback, Sign, Status,
+};
 use tallypaddle::cmd::finish;
 
 mod flags {
@@ -126,8 +128,12 @@
         },
         flags::TallypaddlectlCmd::Explain(args) => Explain { id: args.id, logs: args.logs }.execute(),
         flags::TallypaddlectlCmd::Quarantine(quarantine) => match quarantine.subcommand {
-            flags::QuarantineCmd::List(args) => Denied { settings: args.settings, json: args.json }.execute(),
-            flags::QuarantineCmd::Lift(args) => Lift { which: args.which, settings: args.settings }.execute(),
+            flags::QuarantineCmd::List(args) => {
+                ListDenials { settings: args.settings, json: args.json }.execute()
+            }
+            flags::QuarantineCmd::Lift(args) => {
+                LiftDenials { which: args.which, settings: args.settings }.execute()
+            }
         },
         flags::TallypaddlectlCmd::Bundle(bundle) => match bundle.subcommand {
             flags::BundleCmd::Check(args) => Check { file: args.file }.execute(),
--- a/tests/testsuite/bundles.rs
+++ b/tests/testsuite/bundles.rs
@@ -3,9 +3,9 @@
 use crate::support::{fleet, line, program, run};
 use bundle::{Bundle, Secret};
 use harness::{Ask, Fleet, Plan};
-use roll::{Accepted, HEAD, Package, object_key};
+use roll::{Accepted, HEAD_KEY, Package, object_key};
 use std::fmt::Write;
-use store::{Services, Table, Tx};
+use store::{Platform, Table, Tx};
 
 /// The bundle of a fleet with another limit, so that it differs.
 fn changed(fleet: &Fleet, queue: usize) -> Bundle {
@@ -41,10 +41,10 @@
         token: sequence.to_string(),
         at: 0,
     };
-    services.commit(&Tx::default().put(HEAD, &accepted)).await.expect("a forced head");
+    services.commit(&Tx::default().put(HEAD_KEY, &accepted)).await.expect("a forced head");
 }
 
-async fn store(services: &impl Services, digest: &str, text: &str) {
+async fn store(services: &impl Platform, digest: &str, text: &str) {
     services.store(&object_key(digest), text.as_bytes().to_vec()).await.expect("an object");
 }
 
@@ -217,12 +217,12 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         let services = fleet.services();
-        let old = services.read(&[HEAD.to_owned()]).await.expect("a read")[0].clone().expect("a head");
+        let old = services.read(&[HEAD_KEY.to_owned()]).await.expect("a read")[0].clone().expect("a head");
         let old: Accepted = old.decode().expect("a head");
         fleet.roll(&changed(&fleet, 500)).await.expect("a bundle");
         all_reach(&fleet, 2).await;
         // The platform answers with an old head, as a lagging read would.
-        services.commit(&Tx::default().put(HEAD, &old)).await.expect("an old head");
+        services.commit(&Tx::default().put(HEAD_KEY, &old)).await.expect("an old head");
         fleet.restart(0);
         fleet.until("it is back", || async { sequence(&fleet, 0).await == 2 }).await;
         for index in 0..3 {
