--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,4 +1,4 @@
-//! One body type for both directions: whole bytes, or a bounded pipe.
+//! The body type of HTTP requests and answers: complete bytes, or a bounded pipe of chunks.
 
 use async_channel::{Receiver, Sender};
 use http_body::Frame;
@@ -8,17 +8,17 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// Chunks a pipe holds before its writer has to wait.
-const PIPE_DEPTH: usize = 8;
+/// The number of chunks that a pipe buffers before its writer has to wait.
+const PIPE_CAPACITY: usize = 8;
 
 /// A message body.
 #[derive(Debug)]
 pub enum Body {
-    /// Everything at once.
+    /// A complete body; `None` once it was read, or if it is empty.
     Whole(Option<Bytes>),
-    /// Chunks as they are written to the other end; an error aborts the connection.
+    /// The chunks written to a [`Pipe`]; an error aborts the connection.
     Piped(Pin<Box<Receiver<io::Result<Bytes>>>>),
-    /// A piped body that ends with this error, once what came before it was flushed.
+    /// A piped body that ends with this error once the chunks before it were flushed.
     Failing(Option<io::Error>),
 }
 
@@ -26,36 +26,37 @@
 #[derive(Clone, Debug)]
 pub struct Pipe(Sender<io::Result<Bytes>>);
 
-/// Makes a pipe and the body that reads from it.
+/// Creates a pipe and the body that reads from it.
 pub fn pipe() -> (Pipe, Body) {
-    let (sender, chunks) = async_channel::bounded(PIPE_DEPTH);
+    let (sender, chunks) = async_channel::bounded(PIPE_CAPACITY);
     (Pipe(sender), Body::Piped(Box::pin(chunks)))
 }
 
 impl Pipe {
-    /// Writes one chunk; `false` means that the reader is gone.
+    /// Writes one chunk; returns `false` if the body was dropped.
     pub async fn write(&self, bytes: impl Into<Bytes>) -> bool {
         self.0.send(Ok(bytes.into())).await.is_ok()
     }
 
-    /// Aborts the body, so that the reader sees a broken message and not a short one.
+    /// Aborts the body with an error, so that the recipient doesn't take the truncated message for a
+    /// complete one.
     pub async fn abort(&self, reason: &str) {
         let _ = self.0.send(Err(io::Error::other(reason.to_owned()))).await;
     }
 
-    /// Whether the reader is gone.
+    /// Whether the body was dropped.
     pub fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
 
-    /// Waits until the reader is gone.
+    /// Waits until the body is dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
 impl Body {
-    /// A body without bytes.
+    /// Creates an empty body.
     pub fn empty() -> Body {
         Body::Whole(None)
     }
@@ -80,7 +81,7 @@
             Body::Piped(chunks) => {
                 match ready!(futures::Stream::poll_next(chunks.as_mut(), context)) {
                     Some(Err(error)) => {
-                        // An error at once would drop the chunks that the connection still buffers.
+                        // Returning the error now would drop the chunks that the connection still buffers.
                         *self = Body::Failing(Some(error));
                         context.waker().wake_by_ref();
                         Poll::Pending
@@ -106,10 +107,10 @@
     }
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
-/// Returns a text that says whether the body was too long or broke off.
+/// Returns a message that says whether the body exceeds the limit or could not be read to its end.
 pub async fn collect<B>(body: B, limit: usize) -> Result<Bytes, String>
 where
     B: http_body::Body,
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client whose errors say whether the request can have reached the peer.
+//! An HTTP client whose errors say whether the request may have reached the peer.
 //!
 //! ```no_run
 //! # net::exec::block_on(async {
@@ -24,42 +24,42 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// How long a connection attempt may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(1000);
-/// An answer that takes longer than this multiple of the time in which it has to begin is given up.
-const SLOWEST: u32 = 6;
-/// How long an unused connection is kept.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
-/// Unused connections kept for one peer.
-const IDLE_CONNECTIONS: usize = 64;
+/// The time limit of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The time limit of a complete answer, as a multiple of the time limit for its start.
+const TOTAL_TIME_FACTOR: u32 = 6;
+/// The time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The maximum number of idle connections per peer.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Bytes buffered for each direction of a connection.
-const BUFFER: usize = 16 * 1024;
+/// The buffer size for each direction of a connection, in bytes.
+const BUFFER_SIZE: usize = 16 * 1024;
 
-/// Whether a failed request can have reached the peer.
+/// Whether a failed request may have reached the peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// The peer certainly never saw the request.
+    /// The request certainly did not reach the peer.
     Unsent,
-    /// The peer may have seen and executed it.
+    /// The peer may have received and executed the request.
     Unknown,
 }
 
-/// A request that got no complete answer.
+/// The failure of a request that got no complete answer.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{step} at {peer}: {reason}")]
 pub struct Error {
-    /// What the caller was doing.
+    /// The operation that the request belongs to.
     pub step: &'static str,
     /// The address of the peer.
     pub peer: String,
-    /// Whether the request can have reached the peer.
+    /// Whether the request may have reached the peer.
     pub fault: Fault,
-    /// The cause in words.
+    /// The cause, as a message.
     pub reason: String,
 }
 
-/// A connection-reusing HTTP/1.1 client; cheap to clone.
+/// An HTTP/1.1 client that reuses connections; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<Connector, Body>,
@@ -72,19 +72,19 @@
 }
 
 impl Client {
-    /// Makes a client without connections.
+    /// Creates a client with the default limits on idle connections.
     pub fn new() -> Client {
-        Client::with_idle_limits(IDLE_CONNECTIONS, IDLE_LIMIT)
+        Client::with_idle_limits(MAX_IDLE_CONNECTIONS, IDLE_TIMEOUT)
     }
 
-    /// Makes a client that keeps at most so many unused connections to each peer, for at most `limit`: for those with many
-    /// peers, each of which has to hold its end.
-    pub fn with_idle_limits(connections: usize, limit: Duration) -> Client {
+    /// Creates a client that keeps at most `max_connections` idle connections per peer, each for at most
+    /// `timeout`. Meant for clients with many peers, since each peer has to hold its end open as well.
+    pub fn with_idle_limits(max_connections: usize, timeout: Duration) -> Client {
         let pool = Pool::builder(Spawner)
-            .pool_idle_timeout(limit)
-            .pool_max_idle_per_host(connections)
+            .pool_idle_timeout(timeout)
+            .pool_max_idle_per_host(max_connections)
             .pool_timer(SmolTimer::new())
-            .http1_max_buf_size(BUFFER)
+            .http1_max_buf_size(BUFFER_SIZE)
             .build(Connector);
         Client { pool }
     }
@@ -92,7 +92,7 @@
     /// Sends `request` and waits for the head of the answer.
     ///
     /// # Errors
-    /// Says whether the request was certainly not sent.
+    /// [`Error::fault`] says whether the request may have reached the peer.
     pub async fn send(
         &self,
         step: &'static str,
@@ -107,11 +107,14 @@
         })
     }
 
-    /// Sends `request` and reads the whole answer of at most `limit` bytes. The answer has to begin within `time`, and may
-    /// not stand still for longer: a large one takes longer than that on a slow link, and would be lost and read again.
+    /// Sends `request` and reads the complete answer of at most `limit` bytes.
+    ///
+    /// The answer must begin within `time`, and may not pause for longer. The whole answer may take several
+    /// times as long: a large one needs it on a slow link, and would otherwise be discarded and requested
+    /// again.
     ///
     /// # Errors
-    /// As [`Client::send`]; silence counts as [`Fault::Unknown`].
+    /// As [`Client::send`]; a time-out counts as [`Fault::Unknown`].
     pub async fn exchange(
         &self,
         step: &'static str,
@@ -120,13 +123,13 @@
         time: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let answer = self.begin(step, request, time).await?;
-        answer.read(limit, time * SLOWEST, |_| ()).await
+        answer.read(limit, time * TOTAL_TIME_FACTOR, |_| ()).await
     }
 
-    /// Sends `request` and waits until the answer begins, at most for `time`.
+    /// Sends `request` and waits at most `time` for the head of the answer.
     ///
     /// # Errors
-    /// As [`Client::send`]; silence counts as [`Fault::Unknown`].
+    /// As [`Client::send`]; a time-out counts as [`Fault::Unknown`].
     pub async fn begin(
         &self,
         step: &'static str,
@@ -135,48 +138,50 @@
     ) -> Result<Answer, Error> {
         let peer = request.uri().authority().map(ToString::to_string).unwrap_or_default();
         let answer = exec::timeout(time, self.send(step, request)).await;
-        let (head, body) = answer.ok_or_else(|| silent(step, &peer, time))??.into_parts();
+        let (head, body) = answer.ok_or_else(|| timeout_error(step, &peer, time))??.into_parts();
         Ok(Answer { step, peer, time, head, body })
     }
 }
 
-fn silent(step: &'static str, peer: &str, time: Duration) -> Error {
+fn timeout_error(step: &'static str, peer: &str, time: Duration) -> Error {
     let reason = format!("no answer within {} ms", time.as_millis());
     Error { step, peer: peer.to_owned(), fault: Fault::Unknown, reason }
 }
 
-/// An answer that has begun.
+/// An answer whose head was received.
 #[derive(Debug)]
 pub struct Answer {
     step: &'static str,
     peer: String,
-    /// How long it may stand still.
+    /// The longest pause between two chunks.
     time: Duration,
     head: response::Parts,
     body: Incoming,
 }
 
 impl Answer {
-    /// The length of its body in bytes, if its head tells it.
+    /// The length of the body in bytes, if the head names it.
     pub fn length(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// Reads the rest, which may take `longest` and be of at most `limit` bytes; `heard` is told of the bytes as they come.
+    /// Reads the body of at most `limit` bytes within at most `max_time`. `on_data` is called with the length
+    /// of each chunk.
     ///
     /// # Errors
-    /// Says why the answer is not whole.
+    /// Fails if the answer is incomplete, too slow or too long.
     pub async fn read(
         self,
         limit: usize,
-        longest: Duration,
-        mut heard: impl FnMut(usize),
+        max_time: Duration,
+        mut on_data: impl FnMut(usize),
     ) -> Result<Response<Bytes>, Error> {
         let Answer { step, peer, time, head, body } = self;
         let mut body = Limited::new(body, limit);
-        let mut read = Partial { step, peer: &peer, bytes: vec![], began: Instant::now(), is_whole: false };
+        let mut read =
+            PartialAnswer { step, peer: &peer, bytes: vec![], started: Instant::now(), is_complete: false };
         while let Some(frame) =
-            exec::timeout(time, body.frame()).await.ok_or_else(|| silent(step, &peer, time))?
+            exec::timeout(time, body.frame()).await.ok_or_else(|| timeout_error(step, &peer, time))?
         {
             let frame = frame.map_err(|error| Error {
                 step,
@@ -185,46 +190,47 @@
                 reason: error.to_string(),
             })?;
             if let Some(data) = frame.data_ref() {
-                heard(data.len());
+                on_data(data.len());
                 read.bytes.extend_from_slice(data);
             }
-            if read.began.elapsed() > longest {
-                return Err(silent(step, &peer, longest));
+            if read.started.elapsed() > max_time {
+                return Err(timeout_error(step, &peer, max_time));
             }
         }
         Ok(Response::from_parts(head, Bytes::from(read.finish())))
     }
 }
 
-/// The bytes of an answer that have come so far. One that is given up midway is told, whoever gave it up: its bytes
-/// took their time on the link, and are mostly asked for again.
-struct Partial<'a> {
+/// The part of an answer that was received so far. Dropping it before the answer is complete logs a warning,
+/// whether a time limit or the caller ended the read: the bytes used the link for nothing, and most of them
+/// are requested again.
+struct PartialAnswer<'a> {
     step: &'static str,
     peer: &'a str,
     bytes: Vec<u8>,
-    began: Instant,
-    is_whole: bool,
+    started: Instant,
+    is_complete: bool,
 }
 
-impl Partial<'_> {
+impl PartialAnswer<'_> {
     fn finish(mut self) -> Vec<u8> {
-        self.is_whole = true;
+        self.is_complete = true;
         std::mem::take(&mut self.bytes)
     }
 }
 
-impl Drop for Partial<'_> {
+impl Drop for PartialAnswer<'_> {
     fn drop(&mut self) {
-        if self.is_whole || self.bytes.is_empty() {
+        if self.is_complete || self.bytes.is_empty() {
             return;
         }
         let (step, peer, bytes) = (self.step, self.peer, self.bytes.len());
-        let ms = self.began.elapsed().as_millis();
+        let ms = self.started.elapsed().as_millis();
         log::warn!("net: event=answer-given-up step={step} peer={peer} bytes={bytes} ms={ms}");
     }
 }
 
-/// Joins an error with its causes.
+/// Formats an error together with its causes.
 pub(crate) fn describe(error: &(dyn std::error::Error + 'static)) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
@@ -236,14 +242,14 @@
     text
 }
 
-/// Opens TCP connections by IP number.
+/// Opens TCP connections to IP addresses; resolves no host names.
 #[derive(Clone, Copy, Debug)]
 struct Connector;
 
 impl tower_service::Service<Uri> for Connector {
-    type Response = Wire;
+    type Response = TcpConnection;
     type Error = io::Error;
-    type Future = futures::future::BoxFuture<'static, io::Result<Wire>>;
+    type Future = futures::future::BoxFuture<'static, io::Result<TcpConnection>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -253,31 +259,31 @@
         Box::pin(async move {
             let address = uri.authority().map(ToString::to_string).unwrap_or_default();
             let connecting = TcpStream::connect(&address);
-            let stream = exec::timeout(CONNECT_LIMIT, connecting)
+            let stream = exec::timeout(CONNECT_TIMEOUT, connecting)
                 .await
                 .ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??;
             stream.set_nodelay(true)?;
-            Ok(Wire { io: FuturesIo::new(stream) })
+            Ok(TcpConnection { io: FuturesIo::new(stream) })
         })
     }
 }
 
 pin_project_lite::pin_project! {
-    /// A client connection as hyper wants it.
+    /// A TCP connection that implements hyper's I/O traits.
     #[derive(Debug)]
-    struct Wire {
+    struct TcpConnection {
         #[pin]
         io: FuturesIo<TcpStream>,
     }
 }
 
-impl Connection for Wire {
+impl Connection for TcpConnection {
     fn connected(&self) -> Connected {
         Connected::new()
     }
 }
 
-impl Read for Wire {
+impl Read for TcpConnection {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -287,7 +293,7 @@
     }
 }
 
-impl Write for Wire {
+impl Write for TcpConnection {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.project().io.poll_write(context, bytes)
     }
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,10 +1,11 @@
-//! A clock that goes on while the machine is suspended.
+//! A monotonic clock that includes the time during which the machine is suspended.
 //!
-//! Deadlines, leases, rests and ages are agreed with others, whose time goes on. The usual steady clock stands still meanwhile: by it a
-//! request would have time left that its caller has not, and a kept connection would be young that its peer closed long ago.
+//! Deadlines, leases, back-offs and ages are agreed with other machines, whose time goes on during a
+//! suspension. The usual monotonic clock stops: a request would appear to have time left after its caller's
+//! deadline, and a pooled connection would appear fresh long after its peer closed it.
 //!
-//! Timers run on the steady clock. One that was set before a suspension fires late by its length, so what waits for long looks at this
-//! clock every [`LOOK`].
+//! Timers run on the usual monotonic clock, so a suspension delays them by its length. [`Clock::timeout`]
+//! therefore compares its deadline with this clock every [`CHECK_INTERVAL`].
 
 use crate::exec;
 use boot_time::Instant;
@@ -14,10 +15,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// How late a timeout ends at most if the machine was suspended meanwhile.
-const LOOK: Duration = Duration::from_millis(500);
+/// The longest delay of a time-out after a suspension.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The time since a process started, suspension included; clones go together.
+/// The time since the clock was created, including suspensions. Clones share one time.
 #[derive(Clone, Debug)]
 pub struct Clock {
     started: Instant,
@@ -31,24 +32,24 @@
 }
 
 impl Clock {
-    /// The time since the start.
+    /// The time since the clock was created.
     pub fn now(&self) -> Duration {
         self.started.elapsed() + Duration::from_millis(self.skipped_ms.load(Ordering::Relaxed))
     }
 
-    /// Goes on by some time at once, as the clock of a machine does that was suspended for so long. For tests.
+    /// Moves the clock forward by `time`, which simulates a suspension in tests.
     pub fn advance(&self, time: Duration) {
         self.skipped_ms.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Waits for `future` for at most `limit`; `None` means that the time ran out.
+    /// Waits for `future` for at most `limit`; returns `None` if it did not complete in time.
     pub async fn timeout<T>(&self, limit: Duration, future: impl Future<Output = T>) -> Option<T> {
         let until = self.now() + limit;
         let mut future = pin!(future);
         loop {
             let left = until.saturating_sub(self.now());
-            let done = exec::timeout(left.min(LOOK), future.as_mut()).await;
-            if done.is_some() || left <= LOOK && self.now() >= until {
+            let done = exec::timeout(left.min(CHECK_INTERVAL), future.as_mut()).await;
+            if done.is_some() || left <= CHECK_INTERVAL && self.now() >= until {
                 return done;
             }
         }
--- a/crates/net/src/exec.rs
+++ b/crates/net/src/exec.rs
@@ -1,4 +1,4 @@
-//! The process-wide executor: several threads that share one queue of tasks.
+//! The process-wide async executor: worker threads that share one task queue.
 //!
 //! ```
 //! net::exec::start(1);
@@ -13,24 +13,24 @@
 static EXECUTOR: Executor<'static> = Executor::new();
 static STARTED: Once = Once::new();
 
-/// Starts `threads` worker threads; later calls do nothing.
+/// Starts `threads` worker threads, at least one. Later calls have no effect.
 pub fn start(threads: usize) {
     STARTED.call_once(|| {
         for index in 0..threads.max(1) {
             std::thread::Builder::new()
                 .name(format!("worker-{index}"))
                 .spawn(|| smol::block_on(EXECUTOR.run(std::future::pending::<()>())))
-                .expect("a worker thread can be started");
+                .expect("failed to start a worker thread");
         }
     });
 }
 
-/// Runs `future` on the worker threads.
+/// Runs `future` as a task on the worker threads.
 pub fn spawn<T: Send + 'static>(future: impl Future<Output = T> + Send + 'static) -> Task<T> {
     EXECUTOR.spawn(future)
 }
 
-/// Blocks the current thread on `future`.
+/// Blocks the current thread until `future` completes.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     smol::block_on(future)
 }
@@ -40,7 +40,7 @@
     smol::Timer::after(period).await;
 }
 
-/// Waits for `future` for at most `limit`; `None` means that the time ran out.
+/// Waits for `future` for at most `limit`; returns `None` if it did not complete in time.
 pub async fn timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     smol::future::or(async { Some(future.await) }, async {
         sleep(limit).await;
@@ -49,7 +49,7 @@
     .await
 }
 
-/// Adapter that lets hyper start its tasks here.
+/// Runs hyper's tasks on this executor.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Spawner;
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Plumbing shared by every part: the thread pool, HTTP bodies, an HTTP client and an HTTP server.
+//! Networking and async runtime: the executor, HTTP clients and servers, a connection pool and a clock.
 //!
 //! ```
 //! net::exec::start(2);
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,7 +1,7 @@
-//! Kept connections to upstreams, whose errors say whether the request can have reached the peer.
+//! A connection pool for upstreams, whose errors say whether the request may have reached the peer.
 //!
-//! Unlike [`Client`](crate::Client) the pool never sends a request twice, bounds the connections to each
-//! peer, gives a kept connection up before the peer would, and passes bodies on as they come.
+//! Unlike [`Client`](crate::Client), the pool never sends a request twice, limits the connections to each
+//! peer, and closes an idle connection before the peer would. Bodies are streamed in both directions.
 
 use crate::body::Body;
 use crate::client::{Error, Fault};
@@ -19,24 +19,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a connection attempt may take: several round trips within a region.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// How long sent bytes may stay unacknowledged before the connection counts as broken.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_500);
-/// How long a silent connection is left alone before it is probed, and the pause between probes.
-const KEEPALIVE: Duration = Duration::from_secs(1);
-/// How long an unused connection is kept if the peer names no time.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// A kept connection is given up this long before the peer would close it.
+/// The time limit of a connection attempt: several round trips within a region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time after which a connection with unacknowledged bytes counts as broken (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The idle time before the first TCP keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// The time that an idle connection is kept if the peer names none.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
+/// An idle connection is closed this long before the peer would close it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// The largest read buffer of a connection, in bytes.
-const BUFFER: usize = 16 * 1024;
+/// The maximum buffer size of a connection, in bytes.
+const MAX_BUFFER: usize = 16 * 1024;
 
-/// A connection that is not in use.
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     sender: SendRequest<Body>,
-    /// Until when it is kept, by the pool's clock.
+    /// The time at which it expires, by the pool's clock.
     until: Duration,
 }
 
@@ -53,54 +53,56 @@
     peers: Mutex<HashMap<SocketAddr, Peer>>,
 }
 
-/// Connections to many peers; cheap to clone.
+/// A pool of connections to many peers; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Pool(Arc<Shared>);
 
-/// A request that was not sent, or whose fate is not known.
+/// A request that was not sent, or whose outcome is unknown.
 #[derive(Debug)]
 pub struct Failure {
-    /// What went wrong.
+    /// The cause, and whether the request may have reached the peer.
     pub error: Error,
-    /// Whether the request used a connection that had served others before.
+    /// Whether the request used an existing connection.
     pub reused: bool,
-    /// Whether it was not sent because it was not wanted any more.
+    /// Whether the request was withdrawn before it was sent.
     pub is_withdrawn: bool,
 }
 
 impl Pool {
-    /// A pool that keeps connections by this clock.
+    /// Creates a pool whose idle connections expire by `clock`.
     pub fn new(clock: Clock) -> Pool {
         Pool(Arc::new(Shared { clock, peers: Mutex::default() }))
     }
 
     /// Sends `request` to `peer` and waits for the head of the answer.
     ///
-    /// A new connection is opened only if fewer than `most` are open. The connection returns to the pool once
-    /// the [`Lease`] is dropped and the answer was read whole. With a connection at hand it asks `is_wanted`: what was decided before may
-    /// be wrong by then.
+    /// A new connection is opened only if fewer than `max_connections` are open. The caller returns the
+    /// connection to the pool with [`Lease::keep`] once it has read the complete answer.
+    ///
+    /// As soon as a connection is available, `is_wanted` is called: the reason to send the request may no
+    /// longer hold by then. If it returns `false`, the request is withdrawn.
     ///
     /// # Errors
-    /// Says whether the request was certainly not sent, and whether it was not wanted any more.
+    /// [`Failure`] says whether the request may have reached the peer, and whether it was withdrawn.
     pub async fn send(
         &self,
         step: &'static str,
         peer: SocketAddr,
-        most: usize,
+        max_connections: usize,
         request: Request<Body>,
         is_wanted: impl FnOnce() -> bool,
     ) -> Result<(Response<Incoming>, Lease), Failure> {
         let (mut sender, reused) = match self.take(peer) {
             Some(sender) => (sender, true),
             None => {
-                let opened = self.open(step, peer, most).await;
+                let opened = self.open(step, peer, max_connections).await;
                 (opened.map_err(|error| Failure { error, reused: false, is_withdrawn: false })?, false)
             }
         };
         if !is_wanted() {
-            let until = self.0.clock.now() + IDLE_LIMIT.saturating_sub(IDLE_MARGIN);
+            let until = self.0.clock.now() + DEFAULT_IDLE_TIME.saturating_sub(IDLE_MARGIN);
             Lease { pool: self.0.clone(), peer, sender: Some(sender), until }.keep();
-            let reason = "it is not wanted any more".to_owned();
+            let reason = "the request was withdrawn before it was sent".to_owned();
             let error = Error { step, peer: peer.to_string(), fault: Fault::Unsent, reason };
             return Err(Failure { error, reused, is_withdrawn: true });
         }
@@ -121,18 +123,18 @@
         Ok((answer, lease))
     }
 
-    /// Connections to `peer` that are open now.
+    /// The number of open connections to `peer`.
     pub fn open_connections(&self, peer: SocketAddr) -> usize {
         self.0.peers.lock().expect("the pool's lock").get(&peer).map_or(0, |entry| entry.open)
     }
 
-    /// Whether a connection to `peer` is at hand or may be opened.
-    pub fn has_room(&self, peer: SocketAddr, most: usize) -> bool {
+    /// Whether a connection to `peer` is idle or may be opened.
+    pub fn has_room(&self, peer: SocketAddr, max_connections: usize) -> bool {
         let peers = self.0.peers.lock().expect("the pool's lock");
-        peers.get(&peer).is_none_or(|entry| !entry.idle.is_empty() || entry.open < most)
+        peers.get(&peer).is_none_or(|entry| !entry.idle.is_empty() || entry.open < max_connections)
     }
 
-    /// Closes connections whose time has come, and forgets peers without any.
+    /// Closes idle connections that have expired, and removes peers without connections.
     pub fn evict_expired(&self) {
         let now = self.0.clock.now();
         let mut peers = self.0.peers.lock().expect("the pool's lock");
@@ -158,26 +160,26 @@
         &self,
         step: &'static str,
         peer: SocketAddr,
-        most: usize,
+        max_connections: usize,
     ) -> Result<SendRequest<Body>, Error> {
         let unsent = |reason: String| Error { step, peer: peer.to_string(), fault: Fault::Unsent, reason };
-        let count = Count::new(&self.0, peer, most)
-            .ok_or_else(|| unsent(format!("{most} connections are in use")))?;
-        let stream = exec::timeout(CONNECT_LIMIT, TcpStream::connect(peer))
+        let count = OpenConnection::new(&self.0, peer, max_connections)
+            .ok_or_else(|| unsent(format!("{max_connections} connections are in use")))?;
+        let stream = exec::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer))
             .await
-            .ok_or_else(|| unsent(format!("no connection within {} ms", CONNECT_LIMIT.as_millis())))?
+            .ok_or_else(|| unsent(format!("no connection within {} ms", CONNECT_TIMEOUT.as_millis())))?
             .map_err(|error| unsent(error.to_string()))?;
-        if let Err(error) = watch(&stream) {
+        if let Err(error) = configure_socket(&stream) {
             log::warn!("net: event=socket-option peer={peer} error={error}");
         }
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_BUFFER)
             .handshake(FuturesIo::new(stream))
             .await
             .map_err(|error| unsent(error.to_string()))?;
         exec::spawn(async move {
             let _count = count;
-            // The error reaches whoever waits for the answer; without one the connection was idle.
+            // Whoever waits for an answer gets the error as well. If nobody does, the connection was idle.
             let _ = connection.await;
         })
         .detach();
@@ -185,34 +187,36 @@
     }
 }
 
-/// Sets what lets a dead peer be noticed: small writes at once, probes, and a bound on unacknowledged bytes.
-pub(crate) fn watch(stream: &TcpStream) -> std::io::Result<()> {
+/// Sets the socket options that detect a dead peer early: no delay of small writes, keepalive probes, and a
+/// time limit on unacknowledged bytes.
+pub(crate) fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
-    let probes = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE).with_retries(2);
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL).with_retries(2);
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Counts an open connection for as long as it lives.
-struct Count {
+/// Counts an open connection until it is dropped.
+struct OpenConnection {
     pool: Arc<Shared>,
     peer: SocketAddr,
 }
 
-impl Count {
-    fn new(pool: &Arc<Shared>, peer: SocketAddr, most: usize) -> Option<Count> {
+impl OpenConnection {
+    fn new(pool: &Arc<Shared>, peer: SocketAddr, max_connections: usize) -> Option<OpenConnection> {
         let mut peers = pool.peers.lock().expect("the pool's lock");
         let entry = peers.entry(peer).or_default();
-        if entry.open >= most {
+        if entry.open >= max_connections {
             return None;
         }
         entry.open += 1;
-        Some(Count { pool: pool.clone(), peer })
+        Some(OpenConnection { pool: pool.clone(), peer })
     }
 }
 
-impl Drop for Count {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         let mut peers = self.pool.peers.lock().expect("the pool's lock");
         if let Some(entry) = peers.get_mut(&self.peer) {
@@ -221,7 +225,8 @@
     }
 }
 
-/// The use of a connection by one request.
+/// A connection while one request uses it. Dropping it closes the connection instead of returning it to
+/// the pool.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<Shared>,
@@ -236,8 +241,8 @@
         self.sender = None;
     }
 
-    /// Keeps the connection for later requests, once it has nothing more to read; call it after the whole
-    /// answer was read.
+    /// Returns the connection to the pool as soon as it is ready for another request. Call this after reading
+    /// the complete answer.
     pub fn keep(mut self) {
         let Some(mut sender) = self.sender.take() else { return };
         if self.until <= self.pool.clock.now() {
@@ -260,7 +265,7 @@
     }
 }
 
-/// How long the connection of an answer with these headers may be kept.
+/// How long a connection may stay idle after an answer with these headers.
 fn idle_time(headers: &HeaderMap) -> Duration {
     let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     if text(CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close")) {
@@ -270,5 +275,5 @@
         let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse().ok().map(Duration::from_secs)
     });
-    named.unwrap_or(IDLE_LIMIT).saturating_sub(IDLE_MARGIN)
+    named.unwrap_or(DEFAULT_IDLE_TIME).saturating_sub(IDLE_MARGIN)
 }
--- a/crates/net/src/probe.rs
+++ b/crates/net/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whether a process listens at an address.
+//! Checks whether a process listens at an address.
 
 use crate::exec;
 use smol::net::TcpStream;
@@ -6,19 +6,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a connection attempt says of its peer.
+/// The result of a connection attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProbeResult {
     /// A process accepts connections.
     Listens,
-    /// The host is there, and no process listens.
+    /// The host refused the connection: it is up, but no process listens.
     Refuses,
-    /// Nothing answered in time, or the host can't be reached: that says nothing of the process.
+    /// The attempt timed out or the host is unreachable, which says nothing about the process.
     Silent,
 }
 
 impl ProbeResult {
-    /// The name in logs.
+    /// The name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             ProbeResult::Listens => "listens",
@@ -28,7 +28,7 @@
     }
 }
 
-/// Opens a connection to `peer` and closes it again, within `limit`.
+/// Tries to connect to `peer` within `limit`, and closes the connection at once.
 pub async fn probe(peer: SocketAddr, limit: Duration) -> ProbeResult {
     match exec::timeout(limit, TcpStream::connect(peer)).await {
         Some(Ok(_)) => ProbeResult::Listens,
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that can stop without cutting off an answer in progress.
+//! An HTTP/1.1 server that can shut down without interrupting answers in progress.
 
 use crate::exec;
 use async_channel::{Receiver, Sender};
@@ -18,19 +18,19 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Connections that wait to be accepted.
-const BACKLOG: i32 = 4_096;
+/// The maximum number of connections that wait to be accepted.
+const MAX_BACKLOG: i32 = 4_096;
 
-/// What one connection may cost.
+/// Resource limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Header lines in a request.
+    /// The maximum number of header fields in a request.
     pub headers: usize,
-    /// Bytes buffered while a head is read.
+    /// The read buffer of a connection, in bytes.
     pub buffer: usize,
-    /// Time for a request's head to arrive.
+    /// The time limit for receiving the head of a request.
     pub head_time: Duration,
-    /// Connections open at once.
+    /// The maximum number of open connections.
     pub connections: usize,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A running server.
+/// Controls a running server.
 #[derive(Debug)]
 pub struct Handle {
     address: SocketAddr,
@@ -55,32 +55,33 @@
         self.address
     }
 
-    /// Connections open now.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Closes the listener and each connection once its answer is complete.
+    /// Closes the listener at once, and each connection when its current answer is complete.
     pub fn stop(&self) {
         self.stop.close();
     }
 
-    /// Closes the listener and all connections at once, as the end of the process would, unless it was stopped before.
+    /// Closes the listener and all connections at once, as if the process had ended. Connections that
+    /// [`Handle::stop`] is already closing still complete their answers.
     pub fn abort(&self) {
         self.is_aborted.store(true, Ordering::Relaxed);
         self.stop.close();
     }
 }
 
-/// What tells the tasks of a server that it stops.
+/// Tells the tasks of a server that it was stopped or aborted.
 #[derive(Clone, Debug)]
-struct Stopped {
+struct StopSignal {
     stopped: Receiver<()>,
     is_aborted: Arc<AtomicBool>,
 }
 
-impl Stopped {
-    /// Waits until it does.
+impl StopSignal {
+    /// Waits until the server is stopped or aborted.
     async fn wait(&self) {
         let _ = self.stopped.recv().await;
     }
@@ -103,17 +104,18 @@
     let is_aborted = Arc::new(AtomicBool::new(false));
     let open = Arc::new(AtomicUsize::new(0));
     let handle = Handle { address, open: open.clone(), stop, is_aborted: is_aborted.clone() };
-    let stopped = Stopped { stopped, is_aborted };
+    let stopped = StopSignal { stopped, is_aborted };
     exec::spawn(accept(listener, limits, service, stopped, open)).detach();
     Ok(handle)
 }
 
-/// Binds with a backlog that takes a burst: the usual 128 lets further callers wait for a second.
+/// Binds with a backlog that holds a burst of connections: with the usual 128, further callers wait for a
+/// second.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(MAX_BACKLOG)?;
     TcpListener::try_from(std::net::TcpListener::from(socket))
 }
 
@@ -121,7 +123,7 @@
     listener: TcpListener,
     limits: Limits,
     service: S,
-    stopped: Stopped,
+    stopped: StopSignal,
     open: Arc<AtomicUsize>,
 ) where
     S: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -147,7 +149,8 @@
             }
             Some(Ok((stream, _))) => {
                 open.fetch_add(1, Ordering::Relaxed);
-                let connection = converse(stream, limits, service.clone(), stopped.clone());
+                let connection =
+                    serve_connection_until_stopped(stream, limits, service.clone(), stopped.clone());
                 let open = open.clone();
                 exec::spawn(async move {
                     connection.await;
@@ -159,8 +162,12 @@
     }
 }
 
-async fn converse<S, F, B>(stream: TcpStream, limits: Limits, service: S, stopped: Stopped)
-where
+async fn serve_connection_until_stopped<S, F, B>(
+    stream: TcpStream,
+    limits: Limits,
+    service: S,
+    stopped: StopSignal,
+) where
     S: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
     B: http_body::Body<Data = Bytes> + Send + 'static,
--- a/crates/net/src/signal.rs
+++ b/crates/net/src/signal.rs
@@ -1,4 +1,4 @@
-//! Waiting for the platform's request to stop.
+//! The signals by which the platform stops a process or makes it reload its settings.
 //!
 //! ```no_run
 //! net::exec::block_on(net::signal::terminated()).unwrap();
@@ -11,7 +11,7 @@
 /// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
-/// Fails if the handler can't be installed.
+/// Fails if the signal handler can't be installed.
 pub async fn terminated() -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     match signals.next().await {
@@ -20,20 +20,20 @@
     }
 }
 
-/// The platform's requests to read the settings again.
+/// A stream of requests to reload the settings.
 #[derive(Debug)]
 pub struct Reloads(Signals);
 
-/// Listens for SIGHUP, which would otherwise end the process.
+/// Listens for SIGHUP, which would otherwise terminate the process.
 ///
 /// # Errors
-/// Fails if the handler can't be installed.
+/// Fails if the signal handler can't be installed.
 pub fn reloads() -> io::Result<Reloads> {
     Ok(Reloads(Signals::new([Signal::Hup])?))
 }
 
 impl Reloads {
-    /// Waits for the next request; `false` if there can be no more.
+    /// Waits for the next request; returns `false` if there will be no more.
     pub async fn next(&mut self) -> bool {
         self.0.next().await.is_some()
     }
--- a/crates/net/tests/pool.rs
+++ b/crates/net/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections, servers that are aborted, and what a connection attempt says.
+//! Pooled connections, aborted servers and connection probes.
 
 use http::{Request, Response};
 use net::{Body, Clock, Fault, Limits, Pool, ProbeResult, exec};
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 const LOOPBACK: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
-const LIMIT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A server that counts its requests.
+/// Starts a server that counts its requests.
 async fn serve() -> (net::Handle, Arc<AtomicU32>) {
     exec::start(2);
     let count = Arc::new(AtomicU32::new(0));
@@ -27,23 +27,23 @@
     Request::get("/").body(Body::empty()).expect("a request")
 }
 
-/// Waits until something holds.
-async fn until(holds: impl Fn() -> bool) {
+/// Waits until `condition` holds.
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..1_000 {
-        if holds() {
+        if condition() {
             return;
         }
         exec::sleep(Duration::from_millis(1)).await;
     }
-    panic!("it never held");
+    panic!("the condition did not hold within 1,000 checks");
 }
 
 #[test]
-fn a_timeout_counts_the_time_of_a_suspension() {
+fn a_time_out_includes_the_time_of_a_suspension() {
     exec::block_on(async {
         exec::start(2);
         let clock = Clock::default();
-        let began = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let suspended = clock.clone();
         exec::spawn(async move {
             exec::sleep(Duration::from_millis(100)).await;
@@ -51,16 +51,16 @@
         })
         .detach();
         let ended = clock.timeout(Duration::from_secs(30), std::future::pending::<()>()).await;
-        assert!(ended.is_none() && began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
+        assert!(ended.is_none() && started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
         assert_eq!(clock.timeout(Duration::from_secs(30), async { 7 }).await, Some(7));
-        let began = clock.now();
+        let started = clock.now();
         assert!(clock.timeout(Duration::from_millis(700), std::future::pending::<()>()).await.is_none());
-        assert!(clock.now() - began >= Duration::from_millis(700), "not before its time");
+        assert!(clock.now() - started >= Duration::from_millis(700), "the time-out ended early");
     });
 }
 
 #[test]
-fn a_connection_that_was_kept_through_a_suspension_is_given_up() {
+fn an_idle_connection_expires_during_a_suspension() {
     exec::block_on(async {
         let (server, _) = serve().await;
         let (clock, peer) = (Clock::default(), server.address());
@@ -70,40 +70,41 @@
         lease.keep();
         exec::sleep(Duration::from_millis(50)).await;
         pool.evict_expired();
-        assert_eq!(pool.open_connections(peer), 1, "it is young");
+        assert_eq!(pool.open_connections(peer), 1, "the connection has not expired");
         clock.advance(Duration::from_secs(10));
         pool.evict_expired();
-        until(|| pool.open_connections(peer) == 0).await;
+        wait_until(|| pool.open_connections(peer) == 0).await;
     });
 }
 
 #[test]
-fn what_is_not_wanted_any_more_is_not_sent_and_keeps_its_connection() {
+fn a_withdrawn_request_is_not_sent_and_its_connection_is_pooled() {
     exec::block_on(async {
         let (server, count) = serve().await;
         let (pool, peer) = (Pool::default(), server.address());
-        let failure = pool.send("ask", peer, 1, request(), || false).await.expect_err("it is not sent");
+        let failure =
+            pool.send("ask", peer, 1, request(), || false).await.expect_err("the request is withdrawn");
         assert!(failure.is_withdrawn && failure.error.fault == Fault::Unsent, "{failure:?}");
         assert_eq!((count.load(Ordering::Relaxed), pool.open_connections(peer)), (0, 1));
-        // The connection is kept once its task has run.
-        until(|| pool.has_room(peer, 1)).await;
+        // The connection returns to the pool only after its task has run.
+        wait_until(|| pool.has_room(peer, 1)).await;
         assert!(pool.send("ask", peer, 1, request(), || true).await.is_ok());
         assert_eq!(count.load(Ordering::Relaxed), 1);
     });
 }
 
 #[test]
-fn a_server_that_is_aborted_refuses_connections_at_once() {
+fn an_aborted_server_refuses_connections_at_once() {
     exec::block_on(async {
         let (server, _) = serve().await;
         let address = server.address();
-        assert_eq!(net::probe(address, LIMIT).await, ProbeResult::Listens);
+        assert_eq!(net::probe(address, PROBE_TIMEOUT).await, ProbeResult::Listens);
         let pool = Pool::default();
         let (_, lease) = pool.send("ask", address, 1, request(), || true).await.expect("an answer");
         lease.keep();
         server.abort();
         exec::sleep(Duration::from_millis(50)).await;
-        assert_eq!(net::probe(address, LIMIT).await, ProbeResult::Refuses);
-        assert_eq!(pool.open_connections(address), 0, "the kept connection is gone");
+        assert_eq!(net::probe(address, PROBE_TIMEOUT).await, ProbeResult::Refuses);
+        assert_eq!(pool.open_connections(address), 0, "the pooled connection is closed");
     });
 }
