--- a/crates/store/src/http_adapter.rs
+++ b/crates/store/src/http_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter that speaks the platform's HTTP interface.
+//! A client of the platform's services over HTTP.
 
 use crate::{Error, Fault, ObjectStore, Row, Table, Tx, TxOutcome, Vm, VmList};
 use http::{Method, Request, Response};
@@ -9,21 +9,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// The maximum size of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// The platform's services over HTTP.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client,
     address: SocketAddr,
-    time: Duration,
+    timeout: Duration,
 }
 
 impl Http {
-    /// Addresses the platform; each call ends after `time`.
-    pub fn new(client: Client, address: SocketAddr, time: Duration) -> Http {
-        Http { client, address, time }
+    /// Creates a client of the platform at `address`. The answer to a call must begin within `timeout`, and
+    /// may not pause for longer.
+    pub fn new(client: Client, address: SocketAddr, timeout: Duration) -> Http {
+        Http { client, address, timeout }
     }
 
     async fn call(
@@ -39,16 +40,18 @@
             .header("content-type", "application/json")
             .body(Body::from(body))
             .map_err(|error| self.error(step, Fault::NotApplied, error.to_string()))?;
-        let answer = self.client.exchange(step, request, ANSWER_LIMIT, self.time).await.map_err(|error| {
-            let fault = match error.fault {
-                net::Fault::Unsent => Fault::NotApplied,
-                net::Fault::Unknown => Fault::Unknown,
-            };
-            self.error(step, fault, error.reason)
-        })?;
+        let answer =
+            self.client.exchange(step, request, MAX_ANSWER_BYTES, self.timeout).await.map_err(|error| {
+                let fault = match error.fault {
+                    net::Fault::Unsent => Fault::NotApplied,
+                    net::Fault::Unknown => Fault::Unknown,
+                };
+                self.error(step, fault, error.reason)
+            })?;
         match answer.status().as_u16() {
             200 | 404 => Ok(answer),
-            // The platform refuses these before it touches anything; a 503 may come from in front of it.
+            // The platform gives these before it changes anything. A 503 may come from a proxy in front of
+            // it, so its outcome is unknown.
             status @ (400 | 429) => {
                 Err(self.error(step, Fault::NotApplied, format!("refused with status {status}")))
             }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's services as ports: a transactional table, an object store and a list of VMs.
+//! Interfaces of the platform's services: a transactional table, an object store and a list of VMs.
 //!
-//! [`Http`] is the adapter for the platform's HTTP interface. Every error says whether a write can have
-//! taken effect, because the platform sometimes loses the answer to a write that did.
+//! [`Http`] implements them over HTTP. Every error says whether a write may have taken effect, because the
+//! platform sometimes loses the answer to a write that succeeded.
 //!
 //! ```
 //! use store::Tx;
@@ -20,12 +20,12 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// Whether a failed write can have taken effect.
+/// Whether a failed write may have taken effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// It certainly did not and will not.
+    /// It did not take effect, and will not.
     NotApplied,
-    /// It may have, or may still; read it back.
+    /// It may have taken effect, or may yet do so. The caller has to read the data to find out.
     Unknown,
 }
 
@@ -33,20 +33,20 @@
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{step} at platform {peer}: {reason}")]
 pub struct Error {
-    /// The call.
+    /// The operation that failed.
     pub step: &'static str,
     /// The platform's address.
     pub peer: String,
-    /// Whether a write can have taken effect.
+    /// Whether a write may have taken effect.
     pub fault: Fault,
-    /// The cause in words.
+    /// The cause, as a message.
     pub reason: String,
 }
 
 /// One row of the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// Grows with each write of the row; never 0.
+    /// Increases with each write of the row; never 0.
     pub version: u64,
     /// The content as JSON.
     pub value: String,
@@ -56,7 +56,7 @@
     /// Decodes the content.
     ///
     /// # Errors
-    /// Fails if the content has another shape.
+    /// Fails if the content is not the JSON of a `T`.
     pub fn decode<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_str(&self.value)
     }
@@ -67,7 +67,7 @@
 pub struct Check {
     /// The row's key.
     pub key: String,
-    /// The version it must have; 0 means that it must be absent.
+    /// The version that the row must have; 0 if it must not exist.
     pub version: u64,
 }
 
@@ -80,7 +80,7 @@
     pub value: String,
 }
 
-/// A conditional transaction: all writes if all checks hold, else none.
+/// A conditional transaction: if all checks hold, all writes are applied, otherwise none.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tx {
     /// The conditions.
@@ -90,7 +90,7 @@
 }
 
 impl Tx {
-    /// Requires that the row is as it was read.
+    /// Requires that the row has not changed since it was read.
     #[must_use]
     pub fn require_unchanged(mut self, key: impl Into<String>, read: Option<&Row>) -> Tx {
         let version = read.map_or(0, |row| row.version);
@@ -98,7 +98,7 @@
         self
     }
 
-    /// Requires that the row is absent.
+    /// Requires that the row does not exist.
     #[must_use]
     pub fn require_absent(self, key: impl Into<String>) -> Tx {
         self.require_unchanged(key, None)
@@ -107,7 +107,7 @@
     /// Writes a row.
     ///
     /// # Panics
-    /// Panics if `value` can't be written as JSON, which is a fault of the program.
+    /// Panics if `value` can't be serialized to JSON.
     #[must_use]
     pub fn put(mut self, key: impl Into<String>, value: &impl Serialize) -> Tx {
         let value = serde_json::to_string(value).expect("rows serialize to JSON");
@@ -116,70 +116,70 @@
     }
 }
 
-/// The platform's verdict on a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TxOutcome {
-    /// It took effect.
+    /// All writes were applied.
     Applied,
-    /// A check failed; nothing was written.
+    /// A check failed, and nothing was written.
     Conflict,
 }
 
 /// The transactional table service.
 pub trait Table: Clone + Send + Sync + 'static {
-    /// Reads rows, in the order of `keys`, at one moment.
+    /// Reads rows in one consistent snapshot; returns them in the order of `keys`.
     fn read(&self, keys: &[String]) -> impl Future<Output = Result<Vec<Option<Row>>, Error>> + Send;
 
     /// Reads all rows whose key starts with `prefix`.
     fn scan(&self, prefix: &str) -> impl Future<Output = Result<BTreeMap<String, Row>, Error>> + Send;
 
-    /// Carries out a transaction.
+    /// Executes a transaction.
     fn commit(&self, tx: &Tx) -> impl Future<Output = Result<TxOutcome, Error>> + Send;
 }
 
 /// The object store.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
-    /// Writes an object whole.
+    /// Writes a complete object.
     fn store(&self, key: &str, bytes: Vec<u8>) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Reads an object.
+    /// Reads an object; returns `None` if it does not exist.
     fn load(&self, key: &str) -> impl Future<Output = Result<Option<Vec<u8>>, Error>> + Send;
 }
 
-/// What a VM is for.
+/// The purpose of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// It runs a router; its address is the one for peers.
+    /// It runs a router; its address is the one for other routers.
     Router,
     /// It runs a model engine or a plain service.
     Upstream,
 }
 
-/// One entry of the list of VMs; the list lags.
+/// An entry of the list of VMs. The list may be out of date.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Vm {
     /// The name of the VM, or of the upstream.
     pub name: String,
-    /// What it is for.
+    /// Its purpose.
     pub role: Role,
     /// Its data centre.
     pub data_centre: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// The list of live and leaving VMs.
+/// The list of running VMs, including those about to be removed.
 pub trait VmList: Clone + Send + Sync + 'static {
-    /// Reads the list, routers and upstreams alike.
+    /// Reads the list of all routers and upstreams.
     fn list(&self) -> impl Future<Output = Result<Vec<Vm>, Error>> + Send;
 }
 
-/// Everything that the platform gives.
+/// All services of the platform.
 pub trait Platform: VmList + ObjectStore + Table {}
 
 impl<T: VmList + ObjectStore + Table> Platform for T {}
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -9,19 +9,19 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// The event that ends a complete stream.
-const DONE: &str = "[DONE]";
+/// The data of the event that ends a complete stream.
+const END_MARKER: &str = "[DONE]";
 
-/// One step of a run's stream.
+/// An event in the stream of a run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// A chunk of the answer, as the engine wrote it.
+    /// A chunk of the answer, exactly as the engine sent it.
     Chunk(String),
     /// The answer is complete.
     Done,
 }
 
-/// A run's stream.
+/// The event stream of a run.
 pub struct Events {
     inner: Pin<Box<EventStream<BodyDataStream<Incoming>>>>,
     peer: SocketAddr,
@@ -38,13 +38,14 @@
         Events { inner: Box::pin(BodyDataStream::new(body).eventsource()), peer }
     }
 
-    /// Waits for the next step for at most `limit`.
+    /// Waits at most `limit` for the next event.
     ///
     /// # Errors
-    /// A stream that breaks, stalls or ends without its mark is an error, never a short answer.
+    /// Fails if the stream breaks, stalls or ends without its end marker, so that a truncated answer is never
+    /// taken for a complete one.
     pub async fn next(&mut self, limit: Duration) -> Result<Event, Error> {
         match net::exec::timeout(limit, self.inner.next()).await {
-            Some(Some(Ok(event))) if event.data == DONE => Ok(Event::Done),
+            Some(Some(Ok(event))) if event.data == END_MARKER => Ok(Event::Done),
             Some(Some(Ok(event))) => Ok(Event::Chunk(event.data)),
             Some(Some(Err(error))) => Err(self.broken(error.to_string())),
             Some(None) => Err(self.broken("it ended without its mark".to_owned())),
--- a/crates/upstream/src/http_adapter.rs
+++ b/crates/upstream/src/http_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter for engines that speak the OpenAI-shaped protocol over HTTP.
+//! A client of engines with an OpenAI-compatible HTTP API.
 
 use crate::{Call, CancelOutcome, Engine, Error, Events, Fault, Load, Order, OrderOutcome, Reply};
 use http::header::CONTENT_TYPE;
@@ -9,36 +9,37 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The largest whole answer, in bytes.
-const ANSWER_LIMIT: usize = 32 << 20;
-/// The media type of a stream.
+/// The maximum size of an answer that is not streamed, in bytes.
+const MAX_ANSWER_BYTES: usize = 32 << 20;
+/// The media type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Engines over HTTP.
+/// Calls engines over HTTP.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client,
     router: String,
-    start_limit: Duration,
-    call_limit: Duration,
+    start_timeout: Duration,
+    call_timeout: Duration,
 }
 
 impl Http {
-    /// Calls engines as `router`; a run must begin to answer within `start_limit`, each other call must
-    /// end within `call_limit`.
-    pub fn new(client: Client, router: String, start_limit: Duration, call_limit: Duration) -> Http {
-        Http { client, router, start_limit, call_limit }
+    /// Creates a client that identifies itself as `router`. The answer to a run, a resumed stream or a
+    /// forwarded request must begin within `start_timeout`, and the answer to any other call within
+    /// `call_timeout`.
+    pub fn new(client: Client, router: String, start_timeout: Duration, call_timeout: Duration) -> Http {
+        Http { client, router, start_timeout, call_timeout }
     }
 
     async fn begin(&self, peer: SocketAddr, request: Request<Body>) -> Result<Response<Incoming>, Error> {
-        match net::exec::timeout(self.start_limit, self.client.send("start", request)).await {
+        match net::exec::timeout(self.start_timeout, self.client.send("start", request)).await {
             Some(Ok(answer)) => Ok(answer),
             Some(Err(error)) => Err(convert(peer, error)),
             None => Err(Error {
                 step: "start",
                 peer,
                 fault: Fault::Unknown,
-                reason: format!("no answer within {} ms", self.start_limit.as_millis()),
+                reason: format!("no answer within {} ms", self.start_timeout.as_millis()),
             }),
         }
     }
@@ -54,7 +55,7 @@
         let request = build(step, peer, method, path, Body::from(body))?;
         let answer = self
             .client
-            .exchange(step, request, ANSWER_LIMIT, self.call_limit)
+            .exchange(step, request, MAX_ANSWER_BYTES, self.call_timeout)
             .await
             .map_err(|error| convert(peer, error))?;
         serde_json::from_slice(answer.body()).map_err(|error| Error {
@@ -110,12 +111,12 @@
         match answer.status().as_u16() {
             200 if is_stream(&answer) => Ok(Reply::Stream(Events::new(peer, answer.into_body()))),
             200 => {
-                let bytes = net::collect(answer.into_body(), ANSWER_LIMIT).await.map_err(unknown)?;
+                let bytes = net::collect(answer.into_body(), MAX_ANSWER_BYTES).await.map_err(unknown)?;
                 Ok(Reply::Whole(bytes))
             }
-            // The engine's protocol: a 4xx and a 503 are given before any work starts.
+            // Engines return a 4xx or a 503 only before they start any work.
             status @ (400..=499 | 503) => {
-                let body = net::collect(answer.into_body(), ANSWER_LIMIT).await.map_err(unknown)?;
+                let body = net::collect(answer.into_body(), MAX_ANSWER_BYTES).await.map_err(unknown)?;
                 Ok(Reply::Refused { status, body })
             }
             status => Err(unknown(format!("status {status}"))),
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,7 +1,7 @@
-//! Model engines and plain services as ports.
+//! Interfaces of model engines and plain HTTP services.
 //!
-//! [`Engine`] is what the router needs of a model server; [`Http`] is the adapter for engines that speak
-//! the OpenAI-shaped protocol with stream ids. Every error says whether the engine can have started work.
+//! [`Engine`] defines the operations that the router needs. [`Http`] implements them for engines with an
+//! OpenAI-compatible API and stream ids. Every error says whether the engine may have started work.
 //!
 //! ```
 //! let usage = upstream::Usage::find(r#"{"usage":{"prompt_tokens":3,"completion_tokens":4}}"#).unwrap();
@@ -21,12 +21,12 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// Whether a failed call can have started work.
+/// Whether a failed call may have started work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// The engine certainly did not start it.
+    /// The engine did not start the work.
     NotRun,
-    /// The engine may have started it.
+    /// The engine may have started the work.
     Unknown,
 }
 
@@ -34,63 +34,63 @@
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{step} at upstream {peer}: {reason}")]
 pub struct Error {
-    /// The call.
+    /// The operation that failed.
     pub step: &'static str,
     /// The upstream's address.
     pub peer: SocketAddr,
-    /// Whether the engine can have started work.
+    /// Whether the engine may have started work.
     pub fault: Fault,
-    /// The cause in words.
+    /// The cause, as a message.
     pub reason: String,
 }
 
-/// One run to start on an engine.
+/// A run to start on an engine.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The stream id, chosen by the router and unique in the fleet.
+    /// The stream id, which the router chooses and which is unique in the fleet.
     pub run: String,
     /// The path of the endpoint, for example `/v1/chat/completions`.
     pub path: String,
-    /// The request's JSON.
+    /// The request body in JSON.
     pub body: Bytes,
-    /// Lower is more urgent.
+    /// The priority; lower values are more urgent.
     pub priority: u8,
 }
 
-/// The engine's answer to a run.
+/// The engine's answer to the start of a run.
 #[derive(Debug)]
 pub enum Reply {
-    /// The engine refused the run before it did any work.
+    /// The engine rejected the run before doing any work.
     Refused {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: Bytes,
     },
-    /// The whole answer.
+    /// The complete answer.
     Whole(Bytes),
-    /// The answer as it is generated.
+    /// The answer, streamed while it is generated.
     Stream(Events),
 }
 
-/// Tokens used by a run.
+/// The number of tokens that a run used.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Generated tokens.
     #[serde(default)]
     pub completion_tokens: u64,
 }
 
 impl Usage {
-    /// Prompt and generated tokens together.
+    /// The sum of prompt tokens and generated tokens.
     pub fn total(&self) -> u64 {
         self.prompt_tokens + self.completion_tokens
     }
 
-    /// Finds the usage in an answer or in a chunk of one.
+    /// Extracts the usage from an answer or a chunk; returns `None` if it contains none.
     pub fn find(json: &str) -> Option<Usage> {
         #[derive(Deserialize)]
         struct Part {
@@ -100,61 +100,61 @@
     }
 }
 
-/// How a run stood when it was cancelled.
+/// The state of a run when it was cancelled.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CancelOutcome {
-    /// The engine never saw the run, and will refuse it from now on.
+    /// The engine has not received the run, and will reject it from now on.
     Unseen,
-    /// The run was stopped or had ended with this usage.
+    /// The run was stopped, or had already ended, with this usage.
     Stopped(Usage),
 }
 
-/// A change of an engine's prefix cache; such events come late and with gaps.
+/// A change of an engine's prefix cache. These events are delayed and may be lost.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CacheEvent {
-    /// Grows by one with each event; a jump is a gap.
+    /// Increases by one with each event; a larger step means that events were lost.
     pub sequence: u64,
     /// The hash of the prefix.
     pub prefix: u64,
-    /// Whether it was added or evicted.
+    /// Whether the prefix was added; `false` if it was evicted.
     pub added: bool,
 }
 
-/// What an engine reports of itself, with a lag.
+/// An engine's load report; it may be out of date.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-    /// Runs that it can batch at once.
+    /// The maximum number of runs in a batch.
     pub slots: u32,
-    /// Runs in the batch.
+    /// The number of runs in the current batch.
     pub running: u32,
-    /// Runs that wait for a slot.
+    /// The number of runs that wait for a slot.
     pub waiting: u32,
-    /// Whether it wants no new work.
+    /// Whether the engine asks for no new work.
     pub leaving: bool,
-    /// Models that are loaded.
+    /// The loaded models.
     pub models: Vec<String>,
-    /// Cache events since the last report.
+    /// The cache events since the last report.
     #[serde(default)]
     pub cache: Vec<CacheEvent>,
 }
 
-/// An order to an engine; repeating it does no harm.
+/// An idempotent order to an engine to load certain models.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// The fencing number of the placer that gives it.
+    /// The fencing number of the process that gives the order.
     pub fence: u64,
-    /// The models that shall be loaded.
+    /// The models to load.
     pub models: Vec<String>,
 }
 
-/// The engine's reaction to an order.
+/// The engine's response to an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderOutcome {
-    /// It will carry the order out, or has.
+    /// The engine has executed the order or will do so.
     Yes,
-    /// It saw an order with a higher fencing number.
+    /// The order was rejected: the engine has received one with a higher fencing number.
     Stale,
 }
 
@@ -163,7 +163,7 @@
     /// Starts a run.
     fn start(&self, peer: SocketAddr, call: &Call) -> impl Future<Output = Result<Reply, Error>> + Send;
 
-    /// Takes up a run's stream again after `offset` events.
+    /// Resumes the stream of a run after `offset` events.
     fn resume(
         &self,
         peer: SocketAddr,
@@ -171,7 +171,7 @@
         offset: u64,
     ) -> impl Future<Output = Result<Events, Error>> + Send;
 
-    /// Stops a run and learns what it used.
+    /// Cancels a run and returns its usage.
     fn cancel(
         &self,
         peer: SocketAddr,
@@ -181,14 +181,15 @@
     /// Reads the load report.
     fn load(&self, peer: SocketAddr) -> impl Future<Output = Result<Load, Error>> + Send;
 
-    /// Gives an order.
+    /// Sends an order.
     fn order(
         &self,
         peer: SocketAddr,
         order: &Order,
     ) -> impl Future<Output = Result<OrderOutcome, Error>> + Send;
 
-    /// Passes a request on to a plain service, or to another router, and hands back the answer as it comes.
+    /// Forwards a request to a plain service or to another router, and returns the answer with a streamed
+    /// body.
     fn forward(
         &self,
         peer: SocketAddr,
