--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -1,21 +1,21 @@
-//! Reading a bundle: every mistake at once, each with its line and key path.
+//! Parses and validates a bundle, and reports all errors with their lines and key paths.
 
 use crate::model::{Budget, Bundle, Team};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use yaml::{Mistake, Reader};
 
-/// Hex digits of a key's hash.
+/// The number of hex digits in the hash of an access key.
 const HASH_DIGITS: usize = 64;
-/// The largest weight of a team.
-const WEIGHT_MOST: u32 = 1_000;
-/// The keys of a bundle.
-const KEYS: &str = "teams, upstreams, evacuated, models, services, limits";
+/// The maximum weight of a team.
+const MAX_WEIGHT: u32 = 1_000;
+/// The top-level keys of a bundle, for error messages.
+const ALLOWED_KEYS: &str = "teams, upstreams, evacuated, models, services, limits";
 
-/// Reads and checks a bundle.
+/// Parses and validates a bundle.
 ///
 /// # Errors
-/// Returns every mistake, in the order of the lines.
+/// Returns all errors, sorted by line.
 pub fn read(text: &str) -> Result<Bundle, Vec<Mistake>> {
     yaml::read(text, |reader, mut root| {
         let bundle = Bundle {
@@ -30,22 +30,22 @@
             services: reader.take_entries(&mut root, "services"),
             limits: reader.take(&mut root, "limits").unwrap_or_default(),
         };
-        reader.finish(&root, KEYS);
-        check(reader, &bundle);
+        reader.finish(&root, ALLOWED_KEYS);
+        validate(reader, &bundle);
         bundle
     })
 }
 
-fn check(reader: &mut Reader, bundle: &Bundle) {
-    check_teams(reader, bundle);
+fn validate(reader: &mut Reader, bundle: &Bundle) {
+    validate_teams(reader, bundle);
     for (name, upstream) in &bundle.upstreams {
         if upstream.slots == 0 {
-            reader.add(&["upstreams", name, "slots"], "0 is not allowed; at least 1");
+            reader.add(&["upstreams", name, "slots"], "must be at least 1, not 0");
         }
         for (index, model) in upstream.models.iter().enumerate() {
             if !bundle.models.contains_key(model) {
                 let index = index.to_string();
-                let reason = format!("model {model} is not described under models");
+                let reason = format!("model {model} is not defined under models");
                 reader.add(&["upstreams", name, "models", &index], reason);
             }
         }
@@ -57,27 +57,29 @@
     }
     for (name, model) in &bundle.models {
         if model.default_max_tokens == 0 || model.default_max_tokens > model.context {
-            let reason =
-                format!("{} is not allowed; 1 to the context's {}", model.default_max_tokens, model.context);
+            let reason = format!(
+                "must be between 1 and the context of {}, not {}",
+                model.context, model.default_max_tokens
+            );
             reader.add(&["models", name, "default-max-tokens"], reason);
         }
     }
     for (name, service) in &bundle.services {
         if service.addresses.is_empty() {
-            reader.add(&["services", name, "addresses"], "at least one address is needed");
+            reader.add(&["services", name, "addresses"], "must contain at least one address");
         }
     }
     if !(0.0..=1.0).contains(&bundle.limits.retry_share) {
-        let reason = format!("{} is not allowed; 0 to 1", bundle.limits.retry_share);
+        let reason = format!("must be between 0 and 1, not {}", bundle.limits.retry_share);
         reader.add(&["limits", "retry-share"], reason);
     }
 }
 
-fn check_teams(reader: &mut Reader, bundle: &Bundle) {
+fn validate_teams(reader: &mut Reader, bundle: &Bundle) {
     let mut hashes = BTreeSet::new();
     for (name, team) in &bundle.teams {
-        if team.weight == 0 || team.weight > WEIGHT_MOST {
-            let reason = format!("{} is not allowed; 1 to {WEIGHT_MOST}", team.weight);
+        if team.weight == 0 || team.weight > MAX_WEIGHT {
+            let reason = format!("must be between 1 and {MAX_WEIGHT}, not {}", team.weight);
             reader.add(&["teams", name, "weight"], reason);
         }
         for (index, key) in team.keys.iter().enumerate() {
@@ -88,19 +90,19 @@
                 reader.add(&path, "hash must be the key's SHA-256 in 64 lower-case hex digits");
             }
             if !hashes.insert(key.hash.clone()) {
-                reader.add(&path, "this key is given twice");
+                reader.add(&path, "this key is listed more than once");
             }
             if !team.budgets.contains_key(&key.budget) {
-                reader.add(&path, format!("budget {} is not described under budgets", key.budget));
+                reader.add(&path, format!("budget {} is not defined under budgets", key.budget));
             }
         }
         for (budget, content) in &team.budgets {
-            check_budget(reader, name, budget, content);
+            validate_budget(reader, name, budget, content);
         }
     }
 }
 
-fn check_budget(reader: &mut Reader, team: &str, name: &str, budget: &Budget) {
+fn validate_budget(reader: &mut Reader, team: &str, name: &str, budget: &Budget) {
     if !yaml::is_name(name) {
         reader.add(&["teams", team, "budgets", name], "a name has 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'");
     }
@@ -108,7 +110,7 @@
     for (index, credit) in budget.credits.iter().enumerate() {
         if !ids.insert(&credit.id) {
             let index = index.to_string();
-            let reason = format!("credit {} is given twice", credit.id);
+            let reason = format!("credit {} is listed more than once", credit.id);
             reader.add(&["teams", team, "budgets", name, "credits", &index], reason);
         }
     }
--- a/crates/bundle/src/diff.rs
+++ b/crates/bundle/src/diff.rs
@@ -1,19 +1,19 @@
-//! What a bundle changes, and for whom; budgets come first.
+//! Lists the changes between two bundles. Changes of budgets come first.
 
 use crate::model::Bundle;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One difference between two bundles.
+/// A difference between two bundles.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub struct Change {
-    /// The part that changes.
+    /// The key path of the changed part.
     pub path: String,
-    /// What happens to it.
+    /// A description of the change.
     pub what: String,
-    /// Whether acceptance must refuse it.
+    /// Whether a bundle with this change must be rejected.
     pub refused: bool,
 }
 
@@ -24,15 +24,16 @@
     }
 }
 
-/// Lists what `new` changes against `old`.
+/// Lists the changes from `old` to `new`.
 pub fn diff(old: &Bundle, new: &Bundle) -> Vec<Change> {
     let mut changes = vec![];
     for (team, content) in &new.teams {
-        for (budget, fresh) in &content.budgets {
+        for (budget, new_budget) in &content.budgets {
             let path = format!("teams.{team}.budgets.{budget}");
-            let known = old.teams.get(team).and_then(|team| team.budgets.get(budget));
-            for credit in &fresh.credits {
-                let before = known.and_then(|known| known.credits.iter().find(|one| one.id == credit.id));
+            let old_budget = old.teams.get(team).and_then(|team| team.budgets.get(budget));
+            for credit in &new_budget.credits {
+                let before = old_budget
+                    .and_then(|old_budget| old_budget.credits.iter().find(|one| one.id == credit.id));
                 match before {
                     None => changes.push(Change {
                         path: path.clone(),
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,8 +1,8 @@
-//! The versioned bundle by which operators steer the fleet.
+//! The versioned configuration bundle of the fleet.
 //!
-//! A bundle is written in YAML ([`read`] checks it and reports every error with its line), split into
-//! [`Section`]s that are named by the hash of their content, and signed as a [`Manifest`]. Routers fetch
-//! only the sections that changed.
+//! Operators write a bundle in YAML; [`read`] checks it and reports all errors with their lines. It is split
+//! into [`Section`]s that are addressed by the hash of their content, and listed in a signed [`Manifest`].
+//! Routers fetch only the sections that changed.
 //!
 //! ```
 //! let text = "teams: {}\nupstreams: {}\nmodels: {}\n";
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -1,4 +1,4 @@
-//! The bundle's content as plain structs; every key is described in the bundle reference of the book.
+//! The data model of a bundle. The bundle reference in the book describes each key.
 
 use budget::ledger::Credit;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Everything that operators decide.
+/// The configuration of the fleet.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Bundle {
@@ -15,29 +15,29 @@
     pub teams: BTreeMap<String, Arc<Team>>,
     /// The model servers by name.
     pub upstreams: BTreeMap<String, Upstream>,
-    /// Data centres whose upstreams get nothing new.
+    /// Data centres whose upstreams get no new work.
     pub evacuated: BTreeSet<String>,
-    /// The models by the name that callers use.
+    /// The models, by the names that callers use.
     pub models: BTreeMap<String, Model>,
-    /// The plain services by the name in their path.
+    /// The plain HTTP services, by the names in their paths.
     pub services: BTreeMap<String, Service>,
-    /// What bounds the routers.
+    /// The limits of the routers.
     pub limits: Limits,
 }
 
 impl Bundle {
-    /// The upstreams that may get work: those of evacuated data centres finish what they have.
+    /// The upstreams that may get new work, which excludes those in evacuated data centres.
     pub fn active_upstreams(&self) -> impl Iterator<Item = (&str, &Upstream)> {
         let all = self.upstreams.iter().map(|(name, upstream)| (name.as_str(), upstream));
         all.filter(|(_, upstream)| !self.evacuated.contains(&upstream.data_centre))
     }
 }
 
-/// One team.
+/// A team.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Team {
-    /// Its share of a crowded upstream, against the other teams' weights.
+    /// Its share of an overloaded upstream, relative to the weights of the other teams.
     #[serde(default = "one")]
     pub weight: u32,
     /// Its access keys.
@@ -46,128 +46,130 @@
     pub budgets: BTreeMap<String, Budget>,
 }
 
-/// One access key, known by its hash only.
+/// An access key, of which only the hash is stored.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Key {
-    /// SHA-256 of the key in hex.
+    /// The SHA-256 hash of the key, in hex.
     pub hash: String,
-    /// The budget that its requests are charged to.
+    /// The budget that requests with this key are charged to.
     pub budget: String,
 }
 
-/// One prepaid budget.
+/// A prepaid budget.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Budget {
-    /// The prepayments; each counts once, however often a bundle names it.
+    /// The prepayments. Each counts once, even though successive bundles list it again.
     pub credits: Vec<Credit>,
-    /// Which error weighs more.
+    /// Which kind of error to avoid first.
     #[serde(default)]
     pub weighing: Weighing,
 }
 
-/// Which error weighs more for a budget: it decides how many tokens routers hold in advance.
+/// Which kind of error to avoid first for a budget, which determines how many tokens routers reserve in
+/// advance.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Weighing {
-    /// False refusals: routers hold enough for a long outage.
+    /// Refusals of requests that the budget covers: routers reserve enough tokens for a long outage.
     #[default]
     Refusals,
-    /// Overspend and tokens stranded by a lost VM: routers hold little.
+    /// Overspend, and tokens lost with a VM: routers reserve few tokens.
     Overspend,
 }
 
-/// One model server.
+/// A model server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Upstream {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// Runs that it may be given at once, by all routers together.
+    /// The maximum number of concurrent runs from all routers together.
     pub slots: u32,
-    /// Models it serves.
+    /// The models that it serves.
     pub models: Vec<String>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fence: bool,
 }
 
-/// One model.
+/// A model.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Model {
-    /// The most tokens of prompt and answer together.
+    /// The maximum number of tokens in prompt and answer together.
     pub context: u64,
-    /// The answer's limit where a request names none, in tokens.
+    /// The maximum length of the answer in tokens if the request names none.
     pub default_max_tokens: u64,
-    /// Whether a request may be run more than once.
+    /// Whether a request may be executed more than once.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Lower is more urgent.
+    /// The priority; lower values are more urgent.
     #[serde(default = "middle")]
     pub priority: u8,
-    /// Time until the first token, in milliseconds; work that can't meet it is refused.
+    /// The time limit for the first token, in milliseconds. Requests that can't meet it are refused.
     #[serde(default = "half_minute")]
     pub deadline_ms: u64,
 }
 
-/// One plain service.
+/// A plain HTTP service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Service {
-    /// The servers.
+    /// The addresses of its servers.
     pub addresses: Vec<SocketAddr>,
-    /// Tokens charged for each call.
+    /// The tokens charged per call.
     #[serde(default)]
     pub cost: u64,
-    /// Rules by path; the longest prefix counts, and a path without a rule is repeatable.
+    /// Rules for paths. The rule with the longest matching prefix applies; a path without a rule is
+    /// repeatable.
     #[serde(default)]
     pub routes: Vec<Route>,
 }
 
-/// A rule for some paths of a service.
+/// A rule for the paths of a service that start with a prefix.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Route {
-    /// The start of the path, below the service's name.
+    /// The prefix of the path, without the service's name.
     pub prefix: String,
     /// Whether a call may be executed more than once.
     pub repeatable: bool,
 }
 
 impl Service {
-    /// Whether a call of `path` may be executed more than once.
+    /// Whether a call to `path` may be executed more than once.
     pub fn is_repeatable(&self, path: &str) -> bool {
         let rules = self.routes.iter().filter(|route| path.starts_with(&route.prefix));
         rules.max_by_key(|route| route.prefix.len()).is_none_or(|route| route.repeatable)
     }
 }
 
-/// What bounds the routers.
+/// The limits of the routers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Limits {
-    /// Seconds of demand that a router holds in tokens, where refusals weigh more.
+    /// The demand, in seconds, that a router reserves tokens for if refusals are to be avoided first.
     pub cover_refusals_s: u64,
-    /// Seconds of demand that a router holds in tokens, where overspend weighs more.
+    /// The demand, in seconds, that a router reserves tokens for if overspend is to be avoided first.
     pub cover_overspend_s: u64,
-    /// Seconds of demand that a router may use between two settlements, where refusals weigh more: what a
-    /// lost VM strands for good.
+    /// The demand, in seconds, that a router may use between two settlements if refusals are to be avoided
+    /// first. Tokens up to this amount are lost for good with a VM.
     pub expose_refusals_s: u64,
-    /// The same, where overspend and stranded tokens weigh more.
+    /// The same if overspend and lost tokens are to be avoided first.
     pub expose_overspend_s: u64,
-    /// The least that a router draws at once, in tokens.
+    /// The minimum number of tokens that a router draws at once.
     pub grant_min: u64,
-    /// How long a request may wait for tokens, in milliseconds.
+    /// The longest time that a request may wait for tokens, in milliseconds.
     pub budget_wait_ms: u64,
-    /// Requests that may wait for an upstream in one router.
+    /// The maximum number of requests that wait for an upstream in one router.
     pub queue: usize,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Retries as a share of requests.
+    /// The maximum number of retries, as a share of the requests.
     pub retry_share: f64,
 }
 
@@ -188,7 +190,7 @@
 }
 
 impl Limits {
-    /// Seconds of demand that a router holds of a budget.
+    /// The demand, in seconds, that a router reserves tokens for.
     pub fn cover_s(&self, weighing: Weighing) -> u64 {
         match weighing {
             Weighing::Refusals => self.cover_refusals_s,
@@ -198,7 +200,7 @@
 }
 
 impl Limits {
-    /// Seconds of demand that a router may use of a budget between two settlements.
+    /// The demand, in seconds, that a router may use between two settlements.
     pub fn expose_s(&self, weighing: Weighing) -> u64 {
         match weighing {
             Weighing::Refusals => self.expose_refusals_s,
@@ -207,7 +209,7 @@
     }
 }
 
-/// The hash by which the bundle names an access key.
+/// Returns the hash that identifies an access key in a bundle.
 pub fn hash_key(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
 }
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -1,7 +1,7 @@
-//! Sections named by content hash, the signed manifest, and the keys.
+//! Content-addressed sections, the signed manifest, and signing keys.
 //!
-//! A manifest names the sequence it follows, so a signature is good for one place in the history: replaying
-//! an older signed bundle, or rolling it on top of another one, is refused.
+//! A manifest names the sequence number that it follows, so its signature is valid at one place in the
+//! history only: an older signed bundle can't be replayed or applied on top of another one.
 
 use crate::model::{Bundle, Team};
 use ed25519_dalek::{Signature, Signer, SigningKey, Verifier, VerifyingKey};
@@ -11,60 +11,60 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The start of an index's name.
-const GROUP: &str = "teams/";
-/// Bytes of a key.
+/// The prefix of the names of index sections.
+const INDEX_PREFIX: &str = "teams/";
+/// The length of a key, in bytes.
 const KEY_BYTES: usize = 32;
 
-/// Why a signed bundle is rejected.
+/// The reason why a signed bundle is rejected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// A key or signature is not valid hex of the right length.
+    /// A key or signature is not hex, or has the wrong length.
     #[error("{0} is not a key or signature in hex")]
     Encoding(String),
-    /// Too few trusted signatures.
-    #[error("{valid} valid signatures of trusted keys, {needed} are needed")]
+    /// There are too few valid signatures of trusted keys.
+    #[error("{valid} valid signatures of trusted keys, {needed} required")]
     UnderSigned {
-        /// Distinct trusted keys whose signature is right.
+        /// The number of distinct trusted keys with a valid signature.
         valid: usize,
-        /// How many there must be.
+        /// The required number.
         needed: usize,
     },
-    /// A section does not have the hash that the manifest names.
+    /// The hash of a section differs from the one in the manifest or index.
     #[error("section {0} was changed after it was signed")]
     Tampered(String),
-    /// A section is not there.
+    /// A section is missing.
     #[error("section {0} is missing")]
     Missing(String),
-    /// A section can't be read by this version of the program.
-    #[error("section {0} is not understood: {1}")]
+    /// A section can't be parsed, possibly because it was written for another version of the program.
+    #[error("section {0} can't be parsed: {1}")]
     Unreadable(String, String),
 }
 
 /// A part of a bundle as canonical JSON.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Section {
-    /// The name, for example `team/storm-desk`.
+    /// The name, such as `team/storm-desk`.
     pub name: String,
     /// The content.
     pub json: String,
 }
 
-/// What is signed.
+/// The signed list of the sections of a bundle.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Manifest {
-    /// The accepted sequence that this bundle follows; 0 for the first.
+    /// The sequence number of the accepted bundle that this one follows; 0 for the first one.
     pub parent: u64,
-    /// For a rollback, the sequence whose content is taken up again.
+    /// For a rollback, the sequence number of the bundle whose content is restored.
     pub rollback_to: Option<u64>,
-    /// The hash of each section that is not named by an index, by name.
+    /// The hashes of the sections that no index lists, by name.
     pub sections: BTreeMap<String, String>,
-    /// Why, in the author's words.
+    /// The author's note on the purpose of the change.
     pub note: String,
 }
 
-/// One signature of a manifest.
+/// A signature of a manifest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Seal {
@@ -74,18 +74,18 @@
     pub signature: String,
 }
 
-/// A manifest with its signatures, as it is stored.
+/// A manifest with its signatures, in the form in which it is stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Signed {
-    /// The manifest's JSON, byte for byte as it was signed.
+    /// The JSON of the manifest, exactly as it was signed.
     pub manifest: String,
     /// The signatures.
     pub seals: Vec<Seal>,
 }
 
 impl Signed {
-    /// Makes an unsigned manifest ready for signing.
+    /// Serializes a manifest, without signatures.
     ///
     /// # Panics
     /// Never: a manifest always serializes.
@@ -94,7 +94,7 @@
         Signed { manifest, seals: vec![] }
     }
 
-    /// Adds a signature, in place of an earlier one by the same key.
+    /// Adds a signature, which replaces an earlier one by the same key.
     pub fn sign(&mut self, secret: &Secret) {
         let key = secret.public();
         let signature = hex::encode(secret.0.sign(self.manifest.as_bytes()).to_bytes());
@@ -102,7 +102,7 @@
         self.seals.push(Seal { key, signature });
     }
 
-    /// The name under which it is stored.
+    /// The digest under which it is stored.
     pub fn digest(&self) -> String {
         digest(&serde_json::to_string(self).unwrap_or_default())
     }
@@ -113,12 +113,12 @@
 pub struct Secret(SigningKey);
 
 impl Secret {
-    /// Makes a new key from the system's random numbers.
+    /// Generates a key with the random number generator of the operating system.
     pub fn generate() -> Secret {
         Secret(SigningKey::generate(&mut rand::rngs::OsRng))
     }
 
-    /// Reads a key from hex.
+    /// Parses a key in hex.
     ///
     /// # Errors
     /// Fails unless the text is 64 hex digits.
@@ -126,41 +126,45 @@
         decode::<KEY_BYTES>(text.trim()).map(|bytes| Secret(SigningKey::from_bytes(&bytes)))
     }
 
-    /// Writes the key as hex.
+    /// Returns the key in hex.
     pub fn to_hex(&self) -> String {
         hex::encode(self.0.to_bytes())
     }
 
-    /// The public key in hex.
+    /// Returns the public key in hex.
     pub fn public(&self) -> String {
         hex::encode(self.0.verifying_key().to_bytes())
     }
 }
 
-/// SHA-256 of a text in hex.
+/// Returns the SHA-256 hash of a text, in hex.
 pub fn digest(text: &str) -> String {
     hex::encode(Sha256::digest(text.as_bytes()))
 }
 
-/// Splits a bundle into sections: one for each team, an index for each group of teams, and one for each
-/// other part. The manifest names the indexes, so that a change of one team costs the size of that team, its
-/// index and the manifest, which all grow with the square root of the bundle at most.
+/// Splits a bundle into sections: one for each team, an index for each group of teams, and one for each other
+/// part.
+///
+/// The manifest lists the indexes and not the teams, so after the change of a team only that team, its index
+/// and the manifest are fetched. The sizes of index and manifest grow at most with the square root of the
+/// number of teams.
 ///
 /// # Panics
 /// Never: a bundle always serializes.
 pub fn split(bundle: &Bundle) -> Vec<Section> {
-    let groups = group_count(bundle.teams.len());
+    let count = index_count(bundle.teams.len());
     let mut indexes: BTreeMap<String, BTreeMap<&str, String>> = BTreeMap::new();
     let mut sections = vec![];
     for (name, team) in &bundle.teams {
         let section = section(format!("team/{name}"), team);
-        let index = indexes.entry(group_of(name, groups)).or_default();
+        let index = indexes.entry(index_name(name, count)).or_default();
         index.insert(name, digest(&section.json));
         sections.push(section);
     }
     sections.extend(indexes.into_iter().map(|(group, index)| section(group, &index)));
     sections.push(section("limits".to_owned(), &bundle.limits));
-    // A bundle without it keeps the digest that it had before there was such a section.
+    // Bundles without evacuated data centres have no such section, so their digest is the same as before the
+    // section was introduced.
     if !bundle.evacuated.is_empty() {
         sections.push(section("evacuated".to_owned(), &bundle.evacuated));
     }
@@ -174,46 +178,50 @@
     Section { name, json: serde_json::to_string(content).expect("a bundle serializes to JSON") }
 }
 
-/// A power of two near the square root.
-fn group_count(teams: usize) -> usize {
+/// The number of indexes: a power of two near the square root of the number of teams.
+fn index_count(teams: usize) -> usize {
     teams.isqrt().next_power_of_two()
 }
 
-fn group_of(team: &str, groups: usize) -> String {
+fn index_name(team: &str, count: usize) -> String {
     let hash = Sha256::digest(team.as_bytes());
-    let number = usize::from(u16::from_be_bytes([hash[0], hash[1]])) % groups;
-    format!("{GROUP}{number:04}")
+    let number = usize::from(u16::from_be_bytes([hash[0], hash[1]])) % count;
+    format!("{INDEX_PREFIX}{number:04}")
 }
 
-/// Whether a section is named by the manifest itself, and not by an index.
+/// Whether the manifest itself lists a section; the indexes list the sections of teams.
 pub fn is_named_by_manifest(name: &str) -> bool {
     !name.starts_with("team/")
 }
 
-/// Reads the digests of the teams that an index names.
+/// Parses an index: the digests of the teams, by name.
 ///
 /// # Errors
-/// Fails if it is not an index.
-pub fn read_index(name: &str, json: &str) -> Result<BTreeMap<String, String>, Error> {
+/// Fails if `json` is not an index.
+pub fn parse_index(name: &str, json: &str) -> Result<BTreeMap<String, String>, Error> {
     serde_json::from_str(json).map_err(|error| Error::Unreadable(name.to_owned(), error.to_string()))
 }
 
-/// The digests of the teams, from the indexes that are found.
+/// Returns the digests of all teams, by name. `find` looks up an index by its digest.
 ///
 /// # Errors
-/// Fails if an index is missing or is not one.
+/// Fails if an index is missing, was changed, or can't be parsed.
 pub fn team_digests<'a>(
     manifest: &Manifest,
     find: impl Fn(&str) -> Option<&'a str>,
 ) -> Result<BTreeMap<String, String>, Error> {
     let mut teams = BTreeMap::new();
-    for (name, hash) in manifest.sections.iter().filter(|(name, _)| name.starts_with(GROUP)) {
-        teams.extend(read_index(name, get(name, hash, &find)?)?);
+    for (name, hash) in manifest.sections.iter().filter(|(name, _)| name.starts_with(INDEX_PREFIX)) {
+        teams.extend(parse_index(name, verified_section(name, hash, &find)?)?);
     }
     Ok(teams)
 }
 
-fn get<'a>(name: &str, hash: &str, find: &impl Fn(&str) -> Option<&'a str>) -> Result<&'a str, Error> {
+fn verified_section<'a>(
+    name: &str,
+    hash: &str,
+    find: &impl Fn(&str) -> Option<&'a str>,
+) -> Result<&'a str, Error> {
     let json = find(hash).ok_or_else(|| Error::Missing(name.to_owned()))?;
     if digest(json) != *hash {
         return Err(Error::Tampered(name.to_owned()));
@@ -221,11 +229,11 @@
     Ok(json)
 }
 
-/// Puts a bundle together from the sections that the manifest names; `find` looks one up by hash, and
-/// `reuse` gives a team that was read before.
+/// Assembles a bundle from the sections that the manifest lists. `find` looks up a section by its digest, and
+/// `reuse` a team that was parsed before.
 ///
 /// # Errors
-/// Fails if a section is missing, was tampered with, or is not understood.
+/// Fails if a section is missing, was changed, or can't be parsed.
 pub fn join<'a>(
     manifest: &Manifest,
     find: impl Fn(&str) -> Option<&'a str>,
@@ -235,12 +243,12 @@
     for (name, hash) in team_digests(manifest, &find)? {
         let team = match reuse(&hash) {
             Some(team) => team,
-            None => Arc::new(parse(&name, get(&name, &hash, &find)?)?),
+            None => Arc::new(parse(&name, verified_section(&name, &hash, &find)?)?),
         };
         bundle.teams.insert(name, team);
     }
-    for (name, hash) in manifest.sections.iter().filter(|(name, _)| !name.starts_with(GROUP)) {
-        let json = get(name, hash, &find)?;
+    for (name, hash) in manifest.sections.iter().filter(|(name, _)| !name.starts_with(INDEX_PREFIX)) {
+        let json = verified_section(name, hash, &find)?;
         match name.as_str() {
             "evacuated" => bundle.evacuated = parse(name, json)?,
             "limits" => bundle.limits = parse(name, json)?,
@@ -257,10 +265,10 @@
     serde_json::from_str(json).map_err(|error| Error::Unreadable(name.to_owned(), error.to_string()))
 }
 
-/// Checks the signatures and reads the manifest.
+/// Verifies the signatures and parses the manifest.
 ///
 /// # Errors
-/// Fails unless `needed` distinct keys of `trusted` signed it.
+/// Fails unless at least `needed` distinct keys of `trusted` signed the manifest.
 pub fn verify(signed: &Signed, trusted: &[String], needed: usize) -> Result<Manifest, Error> {
     let mut valid = BTreeSet::new();
     for seal in signed.seals.iter().filter(|seal| trusted.contains(&seal.key)) {
--- a/crates/roll/src/accept.rs
+++ b/crates/roll/src/accept.rs
@@ -1,4 +1,4 @@
-//! The transaction that accepts a bundle, and reading what was accepted.
+//! Accepts bundles in a transaction, and reads accepted bundles.
 
 use crate::{Accepted, HEAD_KEY, LOG_PREFIX, Package, log_key, object_key};
 use bundle::{Bundle, Change, Manifest, Signed};
@@ -6,51 +6,52 @@
 use store::{Platform, Row, Tx, TxOutcome};
 use uuid::Uuid;
 
-/// Attempts before a roll is given up.
-const ATTEMPTS: u32 = 20;
-/// The pause between attempts.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The maximum number of attempts to commit a bundle.
+const MAX_ATTEMPTS: u32 = 20;
+/// The pause between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a bundle was not accepted.
+/// The reason why an operation on the accepted bundles failed.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Error {
-    /// The signatures or the sections are wrong.
+    /// The signatures or the sections are invalid.
     #[error("the bundle is rejected: {0}")]
     Bundle(#[from] bundle::Error),
-    /// Another bundle was accepted since this one was signed.
+    /// Another bundle was accepted after this one was signed.
     #[error(
         "conflict: this bundle follows sequence {parent}, but sequence {current} was accepted since; \
-         look at it with 'bundle diff', then sign again"
+         compare them with 'bundle diff', then sign again"
     )]
     Conflict {
-        /// The sequence that this bundle follows.
+        /// The sequence number that this bundle follows.
         parent: u64,
-        /// The accepted one.
+        /// The sequence number that is accepted now.
         current: u64,
     },
-    /// It would change prepaid money.
+    /// The bundle would change an existing prepayment.
     #[error("the bundle is rejected: {0}")]
     Refused(Change),
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error("{0}")]
     Platform(#[from] store::Error),
-    /// The outcome could not be learned.
+    /// It is unknown whether the bundle was accepted.
     #[error(
-        "whether the bundle was accepted is not known ({0}); 'bundle log' tells once the platform is back"
+        "it is unknown whether the bundle was accepted ({0}); check with 'bundle log' once the platform is \
+         available"
     )]
     Unknown(store::Error),
-    /// The asked sequence does not exist.
+    /// There is no bundle with this sequence number.
     #[error("sequence {0} was never accepted")]
     NoSequence(u64),
-    /// A row or object is not understood.
-    #[error("{0} is not understood: {1}")]
+    /// A row or object is missing or can't be parsed.
+    #[error("{0} can't be read: {1}")]
     Unreadable(String, String),
 }
 
-/// Reads what is accepted now.
+/// Reads the entry of the currently accepted bundle; `None` if none was accepted yet.
 ///
 /// # Errors
-/// Fails if the platform does.
+/// Fails if a call to the platform fails or the entry can't be parsed.
 pub async fn current(platform: &impl Platform) -> Result<Option<Accepted>, Error> {
     Ok(read_head(platform).await?.1)
 }
@@ -68,49 +69,50 @@
     row.decode().map_err(|error| Error::Unreadable(key.to_owned(), error.to_string()))
 }
 
-/// Reads the log, oldest first.
+/// Reads the log of accepted bundles, oldest first.
 ///
 /// # Errors
-/// Fails if the platform does.
+/// Fails if a call to the platform fails or an entry can't be parsed.
 pub async fn history(platform: &impl Platform) -> Result<Vec<Accepted>, Error> {
     let rows = platform.scan(LOG_PREFIX).await?;
     rows.iter().map(|(key, row)| decode(key, row)).collect()
 }
 
-/// Reads the content of an accepted sequence.
+/// Reads the accepted bundle with this sequence number.
 ///
 /// # Errors
-/// Fails if there is no such sequence, or the platform does.
+/// Fails if there is no such bundle, it can't be parsed, or a call to the platform fails.
 pub async fn load(platform: &impl Platform, sequence: u64) -> Result<Bundle, Error> {
     let key = log_key(sequence);
     let row = platform.read(std::slice::from_ref(&key)).await?.into_iter().next().flatten();
     let accepted = decode(&key, &row.ok_or(Error::NoSequence(sequence))?)?;
-    let text = object(platform, &accepted.manifest).await?;
+    let text = load_text(platform, &accepted.manifest).await?;
     let unreadable = |error: serde_json::Error| Error::Unreadable("manifest".to_owned(), error.to_string());
     let signed: Signed = serde_json::from_str(&text).map_err(unreadable)?;
     let manifest: Manifest = serde_json::from_str(&signed.manifest).map_err(unreadable)?;
-    let mut parts = std::collections::BTreeMap::new();
+    let mut sections = std::collections::BTreeMap::new();
     for digest in manifest.sections.values() {
-        parts.insert(digest.clone(), object(platform, digest).await?);
+        sections.insert(digest.clone(), load_text(platform, digest).await?);
     }
-    let teams = bundle::team_digests(&manifest, |digest| parts.get(digest).map(String::as_str))?;
+    let teams = bundle::team_digests(&manifest, |digest| sections.get(digest).map(String::as_str))?;
     for digest in teams.values() {
-        parts.insert(digest.clone(), object(platform, digest).await?);
+        sections.insert(digest.clone(), load_text(platform, digest).await?);
     }
-    Ok(bundle::join(&manifest, |digest| parts.get(digest).map(String::as_str), |_| None)?)
+    Ok(bundle::join(&manifest, |digest| sections.get(digest).map(String::as_str), |_| None)?)
 }
 
-async fn object(platform: &impl Platform, digest: &str) -> Result<String, Error> {
+async fn load_text(platform: &impl Platform, digest: &str) -> Result<String, Error> {
     let key = object_key(digest);
     let bytes = platform.load(&key).await?;
     let text = bytes.and_then(|bytes| String::from_utf8(bytes).ok());
-    text.ok_or_else(|| Error::Unreadable(key, "it is not there".to_owned()))
+    text.ok_or_else(|| Error::Unreadable(key, "missing, or not UTF-8".to_owned()))
 }
 
-/// Accepts a signed bundle, if `needed` of the `trusted` keys signed it and it follows what is accepted now.
+/// Accepts a signed bundle if at least `needed` of the `trusted` keys signed it and it follows the currently
+/// accepted one.
 ///
 /// # Errors
-/// See [`Error`]; after any but [`Error::Unknown`] the bundle was not accepted.
+/// See [`Error`]. The bundle was not accepted, except that this is unknown after [`Error::Unknown`].
 pub async fn roll(
     platform: &impl Platform,
     package: &Package,
@@ -119,14 +121,14 @@
 ) -> Result<Accepted, Error> {
     let (manifest, content) = package.verify(trusted, needed)?;
     let (_, head) = read_head(platform).await?;
-    follow(&manifest, head.as_ref())?;
+    check_parent(&manifest, head.as_ref())?;
     if manifest.parent > 0 {
         let before = load(platform, manifest.parent).await?;
         if let Some(change) = bundle::diff(&before, &content).into_iter().find(|change| change.refused) {
             return Err(Error::Refused(change));
         }
     }
-    store(platform, package).await?;
+    upload(platform, package).await?;
 
     let accepted = Accepted {
         sequence: manifest.parent + 1,
@@ -140,7 +142,7 @@
     commit(platform, &manifest, accepted).await
 }
 
-fn follow(manifest: &Manifest, head: Option<&Accepted>) -> Result<(), Error> {
+fn check_parent(manifest: &Manifest, head: Option<&Accepted>) -> Result<(), Error> {
     let current = head.map_or(0, |head| head.sequence);
     if manifest.parent == current {
         return Ok(());
@@ -148,7 +150,7 @@
     Err(Error::Conflict { parent: manifest.parent, current })
 }
 
-async fn store(platform: &impl Platform, package: &Package) -> Result<(), Error> {
+async fn upload(platform: &impl Platform, package: &Package) -> Result<(), Error> {
     for (digest, json) in &package.sections {
         if platform.load(&object_key(digest)).await?.is_none() {
             platform.store(&object_key(digest), json.clone().into_bytes()).await?;
@@ -159,7 +161,7 @@
     Ok(())
 }
 
-/// Moves the head on; repeated until the outcome is known.
+/// Updates the head row and appends to the log. Repeats the attempt until the outcome is known.
 async fn commit(
     platform: &impl Platform,
     manifest: &Manifest,
@@ -167,14 +169,14 @@
 ) -> Result<Accepted, Error> {
     let key = log_key(accepted.sequence);
     let mut failure = None;
-    for _ in 0..ATTEMPTS {
-        match attempt(platform, manifest, &accepted, &key).await {
+    for _ in 0..MAX_ATTEMPTS {
+        match try_commit(platform, manifest, &accepted, &key).await {
             Ok(Some(())) => return Ok(accepted),
             Ok(None) => {}
             Err(Error::Platform(error)) => failure = Some(error),
             Err(error) => return Err(error),
         }
-        net::exec::sleep(PAUSE).await;
+        net::exec::sleep(RETRY_DELAY).await;
     }
     match failure {
         Some(error) => Err(Error::Unknown(error)),
@@ -182,8 +184,9 @@
     }
 }
 
-/// One attempt; `None` means that it has to be made again.
-async fn attempt(
+/// Tries to commit once; returns `None` if another attempt is needed. Finds its own log entry if an earlier
+/// attempt succeeded but its answer was lost.
+async fn try_commit(
     platform: &impl Platform,
     manifest: &Manifest,
     accepted: &Accepted,
@@ -195,7 +198,7 @@
     {
         return Ok(Some(()));
     }
-    follow(manifest, head.as_ref())?;
+    check_parent(manifest, head.as_ref())?;
     let tx = Tx::default()
         .require_unchanged(HEAD_KEY, row.as_ref())
         .require_absent(key)
--- a/crates/roll/src/lib.rs
+++ b/crates/roll/src/lib.rs
@@ -1,8 +1,9 @@
-//! Accepting bundles: one conditional transaction on the current sequence.
+//! Accepts bundles with a conditional transaction on the current sequence number.
 //!
-//! Sections and manifest are stored first, under the hash of their content; then the head row moves on, if
-//! it still is what the signed manifest follows. Of two operators who race, one wins and the other learns
-//! what it raced against. A lost answer is resolved by reading back a text that only this roll wrote.
+//! Sections and manifest are stored first, under the hash of their content. Then the head row is updated,
+//! provided that it still has the sequence number that the signed manifest follows. If two operators roll
+//! bundles at the same time, one succeeds and the other gets a conflict. If the answer to the transaction is
+//! lost, its outcome is found by reading the log entry and comparing its token, which is unique to the roll.
 //!
 //! ```
 //! use bundle::{Bundle, Secret};
@@ -22,37 +23,38 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The row of the accepted sequence.
+/// The key of the row that holds the currently accepted bundle.
 pub const HEAD_KEY: &str = "bundle/head";
-/// The start of the keys of the log.
+/// The prefix of the keys of the log's rows.
 pub const LOG_PREFIX: &str = "bundle/log/";
 
-/// The content of the head row, and of each row of the log.
+/// The content of the head row and of each row of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Accepted {
-    /// The accepted sequence, from 1.
+    /// The sequence number, starting at 1.
     pub sequence: u64,
     /// The digest of the signed manifest.
     pub manifest: String,
-    /// The public keys that signed.
+    /// The public keys that signed the manifest.
     pub by: Vec<String>,
-    /// Why, in the author's words.
+    /// The author's note on the purpose of the change.
     pub note: String,
-    /// The sequence whose content is taken up again, for a rollback.
+    /// For a rollback, the sequence number of the bundle whose content was restored.
     pub rollback_to: Option<u64>,
-    /// A text that only this roll wrote, to recognise it when an answer was lost.
+    /// A random text, unique to this roll, that identifies its entry if the answer to the transaction was
+    /// lost.
     pub token: String,
-    /// When it was rolled, in seconds since 1970, by the operator's clock.
+    /// The Unix time of the roll, in seconds, by the operator's clock.
     pub at: u64,
 }
 
-/// The key of a row of the log.
+/// Returns the key of the log's row for a sequence number.
 pub fn log_key(sequence: u64) -> String {
     format!("{LOG_PREFIX}{sequence:012}")
 }
 
-/// The key of an object by its digest.
+/// Returns the key of the object with this digest.
 pub fn object_key(digest: &str) -> String {
     format!("bundle-{digest}")
 }
--- a/crates/roll/src/package.rs
+++ b/crates/roll/src/package.rs
@@ -1,34 +1,35 @@
-//! A signed bundle as a file: the manifest, its signatures and the sections.
+//! A signed bundle in one file: the manifest, its signatures and the sections.
 
 use bundle::{Bundle, Error, Manifest, Signed};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A bundle on its way from its author over its reviewers to the platform.
+/// A bundle that is passed from its author to reviewers for signing, and then rolled.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Package {
     /// The manifest and its signatures.
     pub signed: Signed,
-    /// The sections by digest.
+    /// The JSON of the sections, by digest.
     pub sections: BTreeMap<String, String>,
 }
 
 impl Package {
-    /// Packs a bundle that follows sequence `parent`; nobody has signed it yet.
+    /// Creates an unsigned package of a bundle that follows the sequence number `parent`.
     pub fn new(bundle: &Bundle, parent: u64, rollback_to: Option<u64>, note: &str) -> Package {
-        let parts = bundle::split(bundle);
-        let top = parts.iter().filter(|part| bundle::is_named_by_manifest(&part.name));
-        let names = top.map(|part| (part.name.clone(), bundle::digest(&part.json))).collect();
+        let split = bundle::split(bundle);
+        let listed = split.iter().filter(|section| bundle::is_named_by_manifest(&section.name));
+        let names = listed.map(|section| (section.name.clone(), bundle::digest(&section.json))).collect();
         let manifest = Manifest { parent, rollback_to, sections: names, note: note.to_owned() };
-        let sections = parts.into_iter().map(|part| (bundle::digest(&part.json), part.json)).collect();
+        let sections =
+            split.into_iter().map(|section| (bundle::digest(&section.json), section.json)).collect();
         Package { signed: Signed::new(&manifest), sections }
     }
 
-    /// Checks the signatures and the sections.
+    /// Verifies the signatures and the sections.
     ///
     /// # Errors
-    /// Fails if it is under-signed, tampered with or incomplete.
+    /// Fails if there are too few signatures, or a section is missing, changed or can't be parsed.
     pub fn verify(&self, trusted: &[String], needed: usize) -> Result<(Manifest, Bundle), Error> {
         let manifest = bundle::verify(&self.signed, trusted, needed)?;
         let content =
