--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,7 +1,7 @@
-//! A logger that never blocks: lines go through a bounded queue to a thread that writes them in batches.
+//! A non-blocking logger: lines go through a bounded queue to a thread that writes them in batches.
 //!
-//! Information lines are bounded for each second; warnings and errors are bounded by the queue only. What was
-//! left out is counted, and the count is logged.
+//! Lines of the level `info` and below are rate-limited; warnings and errors are limited only by the queue.
+//! The number of dropped lines is logged.
 //!
 //! ```
 //! logs::start(std::io::sink(), log::LevelFilter::Info);
@@ -14,56 +14,57 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Lines that wait for the writer at most: some seconds' worth.
-const QUEUE: usize = 4_096;
-/// Information lines in one second: several times what a busy router writes.
-const INFO_PER_S: u64 = 400;
-/// The largest batch that is written at once, in bytes.
-const BATCH: usize = 32 * 1024;
-/// How long the writer waits for more lines before it looks for lines left out.
-const LOOK: Duration = Duration::from_millis(1_000);
-/// How long the writer lets lines gather, so that it wakes up seldom.
-const GATHER: Duration = Duration::from_millis(50);
+/// The capacity of the queue in lines, which covers some seconds.
+const QUEUE_CAPACITY: usize = 4_096;
+/// The maximum number of lines per second of the level `info` and below: several times what a busy router
+/// writes.
+const MAX_INFO_PER_S: u64 = 400;
+/// The size from which a batch is written without adding further lines, in bytes.
+const BATCH_BYTES: usize = 32 * 1024;
+/// How long the writer waits for a line before it checks for dropped lines.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long the writer waits for further lines of a batch, so that it wakes up less often.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 struct Logger {
     lines: SyncSender<String>,
     level: LevelFilter,
     started: Instant,
     second: AtomicU64,
-    in_second: AtomicU64,
-    omitted: &'static AtomicU64,
+    lines_in_second: AtomicU64,
+    dropped: &'static AtomicU64,
 }
 
-static OMITTED: AtomicU64 = AtomicU64::new(0);
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Starts logging to `output`; a later call does nothing.
+/// Starts logging to `output`. Later calls have no effect.
 pub fn start(output: impl Write + Send + 'static, level: LevelFilter) {
-    let (lines, queue) = sync_channel(QUEUE);
+    let (lines, queue) = sync_channel(QUEUE_CAPACITY);
     let logger = Logger {
         lines,
         level,
         started: Instant::now(),
         second: AtomicU64::new(0),
-        in_second: AtomicU64::new(0),
-        omitted: &OMITTED,
+        lines_in_second: AtomicU64::new(0),
+        dropped: &DROPPED,
     };
     if log::set_boxed_logger(Box::new(logger)).is_ok() {
         log::set_max_level(level);
         std::thread::Builder::new()
             .name("logs".to_owned())
             .spawn(move || write(output, &queue))
-            .expect("the writer's thread can be started");
+            .expect("failed to start the logging thread");
     }
 }
 
 impl Logger {
-    /// Whether the bound for this second leaves room for one more information line.
-    fn has_room(&self) -> bool {
+    /// Counts a line and returns whether it is within this second's rate limit.
+    fn is_within_limit(&self) -> bool {
         let second = self.started.elapsed().as_secs();
         if self.second.swap(second, Ordering::Relaxed) != second {
-            self.in_second.store(0, Ordering::Relaxed);
+            self.lines_in_second.store(0, Ordering::Relaxed);
         }
-        self.in_second.fetch_add(1, Ordering::Relaxed) < INFO_PER_S
+        self.lines_in_second.fetch_add(1, Ordering::Relaxed) < MAX_INFO_PER_S
     }
 }
 
@@ -76,9 +77,9 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let bounded = record.level() >= Level::Info;
-        if bounded && !self.has_room() {
-            self.omitted.fetch_add(1, Ordering::Relaxed);
+        let is_limited = record.level() >= Level::Info;
+        if is_limited && !self.is_within_limit() {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
         let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -90,7 +91,7 @@
             record.args()
         );
         if self.lines.try_send(line).is_err() {
-            self.omitted.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -108,24 +109,25 @@
 
 fn write(mut output: impl Write, queue: &Receiver<String>) {
     loop {
-        let mut batch = match queue.recv_timeout(LOOK) {
+        let mut batch = match queue.recv_timeout(CHECK_INTERVAL) {
             Ok(line) => line,
             Err(RecvTimeoutError::Timeout) => String::new(),
             Err(RecvTimeoutError::Disconnected) => return,
         };
         if !batch.is_empty() {
-            std::thread::sleep(GATHER);
+            std::thread::sleep(BATCH_DELAY);
         }
-        while batch.len() < BATCH
+        while batch.len() < BATCH_BYTES
             && let Ok(line) = queue.try_recv()
         {
             batch.push_str(&line);
         }
-        let omitted = OMITTED.swap(0, Ordering::Relaxed);
-        if omitted > 0 {
-            batch.push_str(&format!("level=warn logs: event=lines-left-out count={omitted}\n"));
+        let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            batch.push_str(&format!("level=warn logs: event=lines-left-out count={dropped}\n"));
         }
-        // Nobody can be told that standard output is closed; the lines are lost, the requests are not.
+        // A failed write, for example to a closed standard output, can't be reported anywhere. The lines are
+        // lost, but requests are not affected.
         let _ = output.write_all(batch.as_bytes()).and_then(|()| output.flush());
     }
 }
--- a/crates/yaml/src/lib.rs
+++ b/crates/yaml/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reading YAML with every mistake at once, each with its line and key path.
+//! Parses YAML and reports all errors at once, each with its line and key path.
 //!
 //! ```
 //! let text = "port: no\nnode:\n  nane: x\n";
@@ -18,22 +18,22 @@
 use serde_yaml_ng::{Mapping, Value};
 use std::collections::BTreeMap;
 
-/// One mistake in a YAML text.
+/// An error in a YAML text.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, thiserror::Error)]
 #[error("line {line}: {path}: {reason}")]
 pub struct Mistake {
-    /// The line, from 1; 0 if the place is not in the text.
+    /// The line, starting at 1; 0 if it is unknown.
     pub line: usize,
-    /// The key path, joined by dots.
+    /// The key path, separated by dots.
     pub path: String,
-    /// What is wrong, and what is allowed.
+    /// The error, and the allowed values.
     pub reason: String,
 }
 
-/// Reads `text` with `build`, which takes the root mapping apart.
+/// Parses `text` and passes the root mapping to `build`, which reads the values.
 ///
 /// # Errors
-/// Returns every mistake, in the order of the lines.
+/// Returns all errors, sorted by line.
 pub fn read<T>(text: &str, build: impl FnOnce(&mut Reader, Mapping) -> T) -> Result<T, Vec<Mistake>> {
     let root: Value = match serde_yaml_ng::from_str(text) {
         Ok(value) => value,
@@ -65,7 +65,7 @@
     Err(mistakes)
 }
 
-/// The line of the deepest part of `path` that the text has.
+/// Returns the line of the deepest part of `path` that exists in the text.
 fn line_of(root: &Node, path: &[String]) -> usize {
     let start = |node: &Node| node.span().start().map_or(0, |marker| marker.line());
     let mut node = root;
@@ -91,30 +91,30 @@
     line
 }
 
-/// Collects mistakes while a text is taken apart.
+/// Reads values from a YAML mapping and collects the errors.
 #[derive(Debug)]
 pub struct Reader {
     mistakes: Vec<(Vec<String>, String)>,
 }
 
 impl Reader {
-    /// Notes a mistake.
+    /// Adds an error.
     pub fn add(&mut self, path: &[&str], reason: impl Into<String>) {
         self.mistakes.push((path.iter().map(|part| (*part).to_owned()).collect(), reason.into()));
     }
 
-    /// Whether no mistake was found yet.
+    /// Whether no error has been found so far.
     pub fn is_clean(&self) -> bool {
         self.mistakes.is_empty()
     }
 
-    /// Takes the value of `key` out of the root and reads it; `None` if it is absent or wrong.
+    /// Removes the value of `key` from the root and parses it; returns `None` if it is absent or invalid.
     pub fn take<T: DeserializeOwned>(&mut self, root: &mut Mapping, key: &str) -> Option<T> {
         let value = root.remove(key)?;
-        self.entry(&[key], value)
+        self.parse_entry(&[key], value)
     }
 
-    /// As [`Reader::take`], but absence is a mistake.
+    /// Like [`Reader::take`], but adds an error if the key is absent.
     pub fn require<T: DeserializeOwned>(&mut self, root: &mut Mapping, key: &str) -> Option<T> {
         if !root.contains_key(key) {
             self.add(&[key], "is missing");
@@ -122,48 +122,50 @@
         self.take(root, key)
     }
 
-    /// Takes a mapping from names to `T` out of the root, entry by entry.
+    /// Removes a mapping from names to `T` from the root and parses its entries. Entries that can't be parsed
+    /// are left out.
     pub fn take_entries<T: DeserializeOwned>(
         &mut self,
         root: &mut Mapping,
         key: &str,
     ) -> BTreeMap<String, T> {
-        root.remove(key).map(|value| self.entries(key, value)).unwrap_or_default()
+        root.remove(key).map(|value| self.parse_entries(key, value)).unwrap_or_default()
     }
 
-    /// Reports what was not taken out of the root.
+    /// Adds an error for each key that is left in the root. `allowed` lists the allowed keys for the message.
     pub fn finish(&mut self, root: &Mapping, allowed: &str) {
         for key in root.keys() {
             self.add(&[key.as_str().unwrap_or("?")], format!("unknown key; allowed: {allowed}"));
         }
     }
 
-    fn entries<T: DeserializeOwned>(&mut self, section: &str, value: Value) -> BTreeMap<String, T> {
+    fn parse_entries<T: DeserializeOwned>(&mut self, section: &str, value: Value) -> BTreeMap<String, T> {
         let Value::Mapping(mapping) = value else {
-            self.add(&[section], "must be a mapping from names");
+            self.add(&[section], "must be a mapping with names as keys");
             return BTreeMap::new();
         };
         let mut entries = BTreeMap::new();
         for (name, value) in mapping {
             let Some(name) = name.as_str() else {
-                self.add(&[section], "names must be texts");
+                self.add(&[section], "names must be strings");
                 continue;
             };
             if !is_name(name) {
                 self.add(&[section, name], "a name has 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'");
             }
-            if let Some(entry) = self.entry(&[section, name], value) {
+            if let Some(entry) = self.parse_entry(&[section, name], value) {
                 entries.insert(name.to_owned(), entry);
             }
         }
         entries
     }
 
-    fn entry<T: DeserializeOwned>(&mut self, path: &[&str], value: Value) -> Option<T> {
+    fn parse_entry<T: DeserializeOwned>(&mut self, path: &[&str], value: Value) -> Option<T> {
         let mut unknown = vec![];
         let mut track = serde_path_to_error::Track::new();
-        let tracked = serde_path_to_error::Deserializer::new(value, &mut track);
-        let result: Result<T, _> = serde_ignored::deserialize(tracked, |key| unknown.push(key.to_string()));
+        let deserializer = serde_path_to_error::Deserializer::new(value, &mut track);
+        let result: Result<T, _> =
+            serde_ignored::deserialize(deserializer, |key| unknown.push(key.to_string()));
         for key in unknown {
             let mut path = path.to_vec();
             path.extend(key.split('.'));
@@ -182,7 +184,7 @@
     }
 }
 
-/// Whether a text may name a team, an upstream, a model or a VM.
+/// Whether `name` is a valid name of a team, an upstream, a model or a VM.
 pub fn is_name(name: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     (1..=64).contains(&name.len()) && name.bytes().all(allowed)
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `tallypaddle check`: reads the settings and says what is wrong, without starting anything.
+//! `tallypaddle check`: validates a settings file without starting anything.
 
 use super::{Error, read_settings};
 use std::path::PathBuf;
@@ -8,21 +8,21 @@
 pub struct Check {
     /// The settings file.
     pub settings: PathBuf,
-    /// Whether they are a gateway's.
+    /// Whether the file holds the settings of a gateway instead of a router.
     pub gateway: bool,
 }
 
 impl Check {
-    /// Checks the settings.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Returns every mistake with its line and key path.
+    /// Returns all errors with their lines and key paths.
     pub fn execute(&self) -> Result<(), Error> {
         let name = match self.gateway {
             true => super::read_gateway_settings(&self.settings)?.name,
             false => read_settings(&self.settings)?.name,
         };
-        println!("{}: the settings of {name} are right", self.settings.display());
+        println!("{}: the settings of {name} are valid", self.settings.display());
         Ok(())
     }
 }
--- a/src/cmd/ctl/check.rs
+++ b/src/cmd/ctl/check.rs
@@ -11,14 +11,14 @@
 }
 
 impl Check {
-    /// Checks the bundle.
+    /// Validates the bundle.
     ///
     /// # Errors
-    /// Returns every mistake with its line and key path.
+    /// Returns all errors with their lines and key paths.
     pub fn execute(&self) -> Result<(), Error> {
         let bundle = read_bundle(&self.file)?;
         println!(
-            "{}: the bundle is right: {} teams, {} upstreams, {} models, {} services",
+            "{}: the bundle is valid: {} teams, {} upstreams, {} models, {} services",
             self.file.display(),
             bundle.teams.len(),
             bundle.upstreams.len(),
@@ -26,7 +26,7 @@
             bundle.services.len()
         );
         for data_centre in &bundle.evacuated {
-            println!("upstreams in {data_centre} get nothing new: it is evacuated");
+            println!("data centre {data_centre} is evacuated: its upstreams get no new work");
         }
         Ok(())
     }
--- a/src/cmd/ctl/diff.rs
+++ b/src/cmd/ctl/diff.rs
@@ -17,27 +17,27 @@
 }
 
 impl Diff {
-    /// Prints what the bundle changes against the accepted one.
+    /// Prints the changes from the accepted bundle to this one.
     ///
     /// # Errors
-    /// Fails if a file is wrong or the platform is away.
+    /// Fails if a file is invalid or a call to the platform fails.
     pub fn execute(&self) -> Result<(), Error> {
         let settings = read_settings(&self.settings)?;
-        let fresh = read_bundle(&self.file)?;
+        let new_bundle = read_bundle(&self.file)?;
         let platform = platform(&settings);
-        let before = net::exec::block_on(async {
+        let old_bundle = net::exec::block_on(async {
             match roll::current(&platform).await? {
                 Some(accepted) => roll::load(&platform, accepted.sequence).await,
                 None => Ok(Bundle::default()),
             }
         })?;
-        let changes = bundle::diff(&before, &fresh);
+        let changes = bundle::diff(&old_bundle, &new_bundle);
         if self.json {
             println!("{}", serde_json::json!(changes));
             return Ok(());
         }
         if changes.is_empty() {
-            println!("nothing changes");
+            println!("no changes");
         }
         for change in changes {
             println!("{change}");
--- a/src/cmd/ctl/key.rs
+++ b/src/cmd/ctl/key.rs
@@ -7,18 +7,18 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::PathBuf;
 
-/// Only the owner may read a secret.
+/// The file mode of secret keys: only the owner may read them.
 const SECRET_MODE: u32 = 0o600;
 
 /// The arguments of `key new`.
 #[derive(Clone, Debug)]
 pub struct NewKey {
-    /// The file for the secret.
+    /// The file for the secret key.
     pub out: PathBuf,
 }
 
 impl NewKey {
-    /// Makes a key.
+    /// Generates a key, writes the secret key to the file and prints the public key.
     ///
     /// # Errors
     /// Fails if the file exists or can't be written.
--- a/src/cmd/ctl/log.rs
+++ b/src/cmd/ctl/log.rs
@@ -4,7 +4,7 @@
 use crate::cmd::read_settings;
 use std::path::PathBuf;
 
-/// Digits of a public key that are shown.
+/// The number of digits of a public key that are printed.
 const KEY_DIGITS: usize = 12;
 
 /// The arguments of `bundle log`.
@@ -17,10 +17,10 @@
 }
 
 impl Log {
-    /// Prints who rolled what, oldest first.
+    /// Prints the log of accepted bundles, oldest first.
     ///
     /// # Errors
-    /// Fails if the platform is away.
+    /// Fails if the settings are invalid or a call to the platform fails.
     pub fn execute(&self) -> Result<(), Error> {
         let settings = read_settings(&self.settings)?;
         let history = net::exec::block_on(roll::history(&platform(&settings)))?;
--- a/src/cmd/ctl/mod.rs
+++ b/src/cmd/ctl/mod.rs
@@ -20,21 +20,21 @@
 pub use sign::{Rollback, Sign};
 pub use status::Status;
 
-use super::{Error, mistakes_in, read_file};
+use super::{Error, invalid_file, read_file};
 use ::roll::Package;
 use bundle::{Bundle, Secret};
 use router::Settings;
 use std::path::Path;
 use std::time::Duration;
 
-/// The platform that the settings name.
+/// Creates a client of the platform that the settings name.
 fn platform(settings: &Settings) -> store::Http {
-    let time = Duration::from_millis(settings.platform.timeout_ms);
-    store::Http::new(net::Client::new(), settings.platform.address, time)
+    let timeout = Duration::from_millis(settings.platform.timeout_ms);
+    store::Http::new(net::Client::new(), settings.platform.address, timeout)
 }
 
 fn read_bundle(path: &Path) -> Result<Bundle, Error> {
-    bundle::read(&read_file(path)?).map_err(|mistakes| mistakes_in(path, &mistakes))
+    bundle::read(&read_file(path)?).map_err(|mistakes| invalid_file(path, &mistakes))
 }
 
 fn read_secret(path: &Path) -> Result<Secret, Error> {
--- a/src/cmd/ctl/quarantine.rs
+++ b/src/cmd/ctl/quarantine.rs
@@ -25,7 +25,7 @@
 }
 
 impl ListDenials {
-    /// Lists the requests that are denied since upstreams ended under them.
+    /// Lists the requests that are denied because upstreams crashed while running them.
     ///
     /// # Errors
     /// Fails if the store can't be read.
@@ -39,15 +39,17 @@
 }
 
 impl LiftDenials {
-    /// Lifts denials: gateways let the requests run again within seconds.
+    /// Lifts denials. The gateways allow the requests again within seconds.
     ///
     /// # Errors
-    /// Fails if the fingerprint is none, nothing of that name is denied, or the store can't be read or written.
+    /// Fails if the fingerprint is malformed, the request is not denied, or the store can't be read or
+    /// written.
     pub fn execute(&self) -> Result<(), Error> {
         let which = match self.which.as_str() {
             "all" => Which::All,
             text => Which::One(
-                text.parse().map_err(|error| Error::Invalid(format!("{error}; say `all` for all")))?,
+                text.parse()
+                    .map_err(|error| Error::Invalid(format!("{error}; use `all` to lift all denials")))?,
             ),
         };
         let rows = rows(&self.settings)?;
@@ -66,7 +68,7 @@
 
 fn as_text(denial: &Denial) -> String {
     let Denial { fingerprint, upstreams, left_ms, .. } = denial;
-    format!("{fingerprint}: ended {}; denied for {} s more", upstreams.join(", "), left_ms / 1_000)
+    format!("{fingerprint}: crashed {}; denied for another {} s", upstreams.join(", "), left_ms / 1_000)
 }
 
 fn as_json(denial: &Denial) -> String {
--- a/src/cmd/ctl/roll.rs
+++ b/src/cmd/ctl/roll.rs
@@ -16,10 +16,11 @@
 }
 
 impl Roll {
-    /// Rolls the package out.
+    /// Rolls out the package.
     ///
     /// # Errors
-    /// Fails if it is not signed as the settings ask, or another one was faster.
+    /// Fails if the package lacks signatures that the settings require, or another bundle was accepted
+    /// after it was signed.
     pub fn execute(&self) -> Result<(), Error> {
         let settings = read_settings(&self.settings)?;
         let package = read_package(&self.file)?;
--- a/src/cmd/ctl/sign.rs
+++ b/src/cmd/ctl/sign.rs
@@ -10,21 +10,21 @@
 pub struct Sign {
     /// The bundle in YAML, or a signed package.
     pub file: PathBuf,
-    /// The secret key's file.
+    /// The file with the secret key.
     pub key: PathBuf,
     /// The file for the signed package.
     pub out: PathBuf,
     /// A router's settings file.
     pub settings: PathBuf,
-    /// Why, for the log.
+    /// The purpose of the change, for the log.
     pub note: String,
 }
 
 impl Sign {
-    /// Signs the bundle on top of the accepted sequence, or adds a signature to a package.
+    /// Signs the bundle as the successor of the accepted one, or adds a signature to a package.
     ///
     /// # Errors
-    /// Fails if a file is wrong or the platform is away.
+    /// Fails if a file is invalid or a call to the platform fails.
     pub fn execute(&self) -> Result<(), Error> {
         let secret = read_secret(&self.key)?;
         let settings = read_settings(&self.settings)?;
@@ -44,9 +44,9 @@
 /// The arguments of `bundle rollback`.
 #[derive(Clone, Debug)]
 pub struct Rollback {
-    /// The sequence whose content is taken up again.
+    /// The sequence number of the bundle whose content is restored.
     pub sequence: u64,
-    /// The secret key's file.
+    /// The file with the secret key.
     pub key: PathBuf,
     /// The file for the signed package.
     pub out: PathBuf,
@@ -55,10 +55,10 @@
 }
 
 impl Rollback {
-    /// Signs the content of an earlier sequence as the next one.
+    /// Signs the content of an earlier bundle as the successor of the accepted one.
     ///
     /// # Errors
-    /// Fails if there is no such sequence or the platform is away.
+    /// Fails if there is no such bundle, a file is invalid, or a call to the platform fails.
     pub fn execute(&self) -> Result<(), Error> {
         let secret = read_secret(&self.key)?;
         let settings = read_settings(&self.settings)?;
--- a/src/cmd/ctl/status.rs
+++ b/src/cmd/ctl/status.rs
@@ -18,10 +18,11 @@
 }
 
 impl Status {
-    /// Asks each listed VM which sequence it has in force.
+    /// Asks each router on the platform's list of VMs which sequence number it has in force.
     ///
     /// # Errors
-    /// Fails if the platform's list can't be read.
+    /// Fails if the settings are invalid or the list can't be read. For a router that can't be reached,
+    /// the error is printed instead.
     pub fn execute(&self) -> Result<(), Error> {
         let settings = read_settings(&self.settings)?;
         let key = settings.fleet_keys.first().map(String::as_str).unwrap_or_default();
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! `tallypaddle gateway`: runs the gateway on the users' platform until it is asked to stop.
+//! `tallypaddle gateway`: runs the gateway on the users' platform.
 
 use super::{Error, read_gateway_settings as read};
 use gateway::Settings;
@@ -7,15 +7,15 @@
 /// The arguments of `gateway`.
 #[derive(Clone, Debug)]
 pub struct Gateway {
-    /// The settings file; if absent, the platform's environment variable names it.
+    /// The settings file; if absent, its path is read from the platform's environment variable.
     pub settings: Option<PathBuf>,
 }
 
 impl Gateway {
-    /// Runs the gateway until SIGTERM or SIGINT, then stops it without cutting off a request.
+    /// Runs the gateway until SIGTERM or SIGINT, then stops it without interrupting requests in progress.
     ///
     /// # Errors
-    /// Fails if the settings are wrong or an address can't be bound.
+    /// Fails if the settings are invalid or an address can't be bound.
     pub fn execute(&self) -> Result<(), Error> {
         let path = self.path()?;
         let settings = read(&path)?;
@@ -23,7 +23,7 @@
         net::exec::start(settings.threads);
         net::exec::block_on(async {
             let rows = platform::Http::new(settings.store);
-            net::exec::spawn(follow_reloads(path, settings.clone())).detach();
+            net::exec::spawn(log_reloads(path, settings.clone())).detach();
             let running = gateway::start(settings, platform::Names, rows)
                 .await
                 .map_err(|source| Error::Run { step: "start the gateway", source })?;
@@ -36,18 +36,19 @@
     }
 
     fn path(&self) -> Result<PathBuf, Error> {
-        let named = || std::env::var_os(platform::SETTINGS_VARIABLE).map(PathBuf::from);
-        self.settings.clone().or_else(named).ok_or_else(|| {
+        let from_environment = || std::env::var_os(platform::SETTINGS_VARIABLE).map(PathBuf::from);
+        self.settings.clone().or_else(from_environment).ok_or_else(|| {
             Error::Invalid(format!(
-                "no settings file is named, and {} is not set",
+                "no settings file is given, and {} is not set",
                 platform::SETTINGS_VARIABLE
             ))
         })
     }
 }
 
-/// On SIGHUP, reads the settings again and says what changed: none of them can change while the process runs.
-async fn follow_reloads(path: PathBuf, current: Settings) {
+/// Reads the settings again on each SIGHUP and logs whether they changed. No setting can change while the
+/// process runs.
+async fn log_reloads(path: PathBuf, current: Settings) {
     let Ok(mut reloads) = net::signal::reloads() else {
         log::error!("gateway: event=no-reloads reason=\"the handler can't be installed\"");
         return;
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each subcommand; each has its arguments as a struct with an `execute`.
+//! The subcommands. Each has a struct with its arguments, whose `execute` runs it.
 //!
 //! ```no_run
 //! tallypaddle::cmd::Check { settings: "router.yaml".into(), gateway: false }.execute().unwrap();
@@ -17,16 +17,16 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The exit code for a failure that asking again later may mend.
+/// The exit code for a failure that a later retry may resolve.
 pub const EXIT_FAILED: u8 = 1;
-/// The exit code for a mistake in a file or on the command line.
+/// The exit code for an invalid file or command line.
 pub const EXIT_INVALID: u8 = 2;
-/// The exit code for a bundle that another one overtook.
+/// The exit code for a bundle that conflicts with one accepted after it was signed.
 pub const EXIT_CONFLICT: u8 = 3;
-/// The exit code for an outcome that could not be learned.
+/// The exit code for an unknown outcome.
 pub const EXIT_UNKNOWN: u8 = 4;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A file can't be read or written.
@@ -37,13 +37,13 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// A file is wrong; the text has a line for each mistake.
+    /// A file or argument is invalid. The message has a line for each error.
     #[error("{0}")]
     Invalid(String),
-    /// A process could not run.
+    /// The router or gateway could not be run.
     #[error("{step}: {source}")]
     Run {
-        /// What it was doing.
+        /// The step that failed.
         step: &'static str,
         /// The cause.
         source: std::io::Error,
@@ -51,13 +51,13 @@
     /// A bundle was not accepted.
     #[error("{0}")]
     Roll(#[from] roll::Error),
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error("{0}")]
     Platform(#[from] store::Error),
 }
 
 impl Error {
-    /// The exit code that tells scripts what to do.
+    /// The exit code, from which scripts determine how to proceed.
     pub fn exit_code(&self) -> ExitCode {
         let code = match self {
             Error::File { .. } | Error::Invalid(_) => EXIT_INVALID,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Ends a program: prints the error, if any, and gives the exit code.
+/// Prints the error, if any, and returns the exit code.
 pub fn finish(result: Result<(), Error>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -91,15 +91,15 @@
 
 fn read_settings(path: &Path) -> Result<Settings, Error> {
     let text = read_file(path)?;
-    Settings::read(&text).map_err(|mistakes| mistakes_in(path, &mistakes))
+    Settings::read(&text).map_err(|mistakes| invalid_file(path, &mistakes))
 }
 
 fn read_gateway_settings(path: &Path) -> Result<::gateway::Settings, Error> {
     let text = read_file(path)?;
-    ::gateway::Settings::read(&text).map_err(|mistakes| mistakes_in(path, &mistakes))
+    ::gateway::Settings::read(&text).map_err(|mistakes| invalid_file(path, &mistakes))
 }
 
-fn mistakes_in(path: &Path, mistakes: &[bundle::Mistake]) -> Error {
+fn invalid_file(path: &Path, mistakes: &[bundle::Mistake]) -> Error {
     let lines = mistakes.iter().map(|mistake| format!("{}: {mistake}", path.display()));
     Error::Invalid(lines.collect::<Vec<_>>().join("\n"))
 }
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `tallypaddle serve`: runs the router until it is asked to stop.
+//! `tallypaddle serve`: runs the router.
 
 use super::{Error, read_settings};
 use std::path::PathBuf;
@@ -11,10 +11,10 @@
 }
 
 impl Serve {
-    /// Runs the router until SIGTERM or SIGINT, then stops it without cutting off a request.
+    /// Runs the router until SIGTERM or SIGINT, then stops it without interrupting requests in progress.
     ///
     /// # Errors
-    /// Fails if the settings are wrong or an address can't be bound.
+    /// Fails if the settings are invalid or an address can't be bound.
     pub fn execute(&self) -> Result<(), Error> {
         let settings = read_settings(&self.settings)?;
         net::exec::start(settings.limits.threads);
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -13,36 +13,37 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Steers a fleet of tallypaddle routers by signed bundles.
+        /// Configures a fleet of tallypaddle routers with signed bundles.
         ///
-        /// The usual way: check, diff, sign (author), sign (reviewer), roll, status. Exit codes: 0 done, 1 failed
-        /// and may be tried again, 2 a mistake in a file, 3 another bundle was faster, 4 the outcome is not known.
+        /// The usual steps: check, diff, sign (author), sign (reviewer), roll, status. Exit codes: 0 success,
+        /// 1 failure that a retry may resolve, 2 invalid input, 3 conflict with another bundle, 4 outcome
+        /// unknown.
         cmd tallypaddlectl {
-            /// Keys that sign bundles.
+            /// Manages the keys that sign bundles.
             cmd key {
-                /// Makes a signing key: the secret goes into a file, the public key to standard output.
+                /// Creates a signing key: writes the secret key to a file and prints the public key.
                 cmd new {
-                    /// The file for the secret; it must not exist.
+                    /// The file for the secret key; it must not exist.
                     required out: PathBuf
                 }
             }
-            /// Tells a request's story from gateways' logs: its lines, and what its gateways believed then.
+            /// Explains what happened to a request, from the logs of gateways.
             cmd explain {
                 /// The request's identifier.
                 required id: String
-                /// Log files; standard input if there are none.
+                /// Log files (default: standard input).
                 repeated logs: PathBuf
             }
-            /// Requests that gateways deny since upstreams ended under them.
+            /// Manages requests that gateways deny because upstreams crashed while running them.
             cmd quarantine {
-                /// Lists them.
+                /// Lists the denied requests.
                 cmd list {
                     /// A gateway's settings file: it names the store.
                     required -s, --settings settings: PathBuf
                     /// Prints JSON.
                     optional --json
                 }
-                /// Lets them run again: all gateways follow within seconds.
+                /// Allows denied requests again; it takes effect on all gateways within seconds.
                 cmd lift {
                     /// A fingerprint as listed, or `all`.
                     required which: String
@@ -50,14 +51,14 @@
                     required -s, --settings settings: PathBuf
                 }
             }
-            /// Bundles.
+            /// Manages bundles.
             cmd bundle {
-                /// Names every mistake in a bundle with its line and key path.
+                /// Checks a bundle and reports all errors with their lines and key paths.
                 cmd check {
                     /// The bundle in YAML.
                     required file: PathBuf
                 }
-                /// Shows what a bundle changes and for whom, budgets first.
+                /// Shows the changes from the accepted bundle, budgets first.
                 cmd diff {
                     /// The bundle in YAML.
                     required file: PathBuf
@@ -66,20 +67,20 @@
                     /// Prints JSON.
                     optional --json
                 }
-                /// Signs a bundle, or adds a signature to a signed one.
+                /// Signs a bundle, or adds a signature to a signed package.
                 cmd sign {
-                    /// The bundle in YAML, or a package that was signed before.
+                    /// The bundle in YAML, or a signed package.
                     required file: PathBuf
-                    /// The secret key's file.
+                    /// The file with the secret key.
                     required -k, --key key: PathBuf
                     /// The file for the signed package.
                     required -o, --out out: PathBuf
-                    /// A router's settings file: the bundle follows what is accepted there now.
+                    /// A router's settings file: it names the platform with the accepted bundle.
                     required -s, --settings settings: PathBuf
-                    /// Why, for the log.
+                    /// The purpose of the change, for the log.
                     optional -n, --note note: String
                 }
-                /// Rolls a signed package out.
+                /// Rolls out a signed package.
                 cmd roll {
                     /// The signed package.
                     required file: PathBuf
@@ -88,25 +89,25 @@
                     /// Prints JSON.
                     optional --json
                 }
-                /// Signs the content of an earlier sequence as the next one; sign it further, then roll it.
+                /// Signs the content of an earlier sequence as the next one, ready to be signed and rolled.
                 cmd rollback {
-                    /// The sequence whose content is taken up again.
+                    /// The sequence whose content is restored.
                     required sequence: u64
-                    /// The secret key's file.
+                    /// The file with the secret key.
                     required -k, --key key: PathBuf
                     /// The file for the signed package.
                     required -o, --out out: PathBuf
                     /// A router's settings file.
                     required -s, --settings settings: PathBuf
                 }
-                /// Shows which sequence each VM has in force and for how long.
+                /// Shows which sequence is in force on each VM, and for how long.
                 cmd status {
                     /// A router's settings file.
                     required -s, --settings settings: PathBuf
                     /// Prints JSON.
                     optional --json
                 }
-                /// Shows who rolled what.
+                /// Shows the log of accepted bundles and their signers.
                 cmd log {
                     /// A router's settings file.
                     required -s, --settings settings: PathBuf
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The router that every entry VM runs.
+//! The program that runs the router or the gateway on each entry VM.
 
 use std::process::ExitCode;
 use tallypaddle::cmd::{Check, Gateway, Serve, finish};
@@ -12,9 +12,9 @@
     xflags::xflags! {
         /// Routes requests of teams with prepaid token budgets to language model upstreams.
         ///
-        /// A router keeps nothing on its VM. It learns its addresses from its settings, everything else from the
-        /// bundle in force, the platform and its peers. Logs go to standard error; RUST_LOG sets their level
-        /// (info unless set). SIGTERM stops it without cutting off a request in progress.
+        /// A router stores nothing on its VM. It reads its addresses from its settings, and everything else
+        /// from the bundle in force, the platform and its peers. Logs go to standard error; RUST_LOG sets
+        /// their level (default: info). SIGTERM stops it without interrupting requests in progress.
         cmd tallypaddle {
             /// Runs the router.
             cmd serve {
@@ -23,14 +23,14 @@
             }
             /// Runs the gateway on the users' platform; logs go to standard output.
             cmd gateway {
-                /// The settings file in YAML; if absent, the platform's environment variable names it.
+                /// The settings file in YAML (default: the path in the platform's environment variable).
                 optional settings: PathBuf
             }
-            /// Checks a settings file and names every mistake with its line, without starting anything.
+            /// Checks a settings file and reports all errors with their lines, without starting anything.
             cmd check {
                 /// The settings file in YAML.
                 required settings: PathBuf
-                /// They are a gateway's settings.
+                /// Checks the settings of a gateway instead of a router.
                 optional --gateway
             }
         }
