--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -3,7 +3,7 @@
 use crate::model::{Budget, Bundle, Team};
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use yaml::{Mistake, Reader};
+use yaml::{ConfigError, Reader};
 
 /// The number of hex digits in the hash of an access key.
 const HASH_DIGITS: usize = 64;
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// Returns all errors, sorted by line.
-pub fn read(text: &str) -> Result<Bundle, Vec<Mistake>> {
+pub fn read(text: &str) -> Result<Bundle, Vec<ConfigError>> {
     yaml::read(text, |reader, mut root| {
         let bundle = Bundle {
             teams: reader
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -20,7 +20,7 @@
 pub use diff::{Change, diff};
 pub use model::{Budget, Bundle, Key, Limits, Model, Route, Service, Team, Upstream, Weighing, hash_key};
 pub use sign::{
-    Error, Manifest, Seal, Secret, Section, Signed, digest, is_named_by_manifest, join, split, team_digests,
-    verify,
+    Error, Manifest, ManifestSignature, SecretKey, Section, SignedManifest, digest, is_named_by_manifest,
+    join, split, team_digests, verify,
 };
-pub use yaml::Mistake;
+pub use yaml::ConfigError;
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -67,7 +67,7 @@
 /// A signature of a manifest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Seal {
+pub struct ManifestSignature {
     /// The public key in hex.
     pub key: String,
     /// The signature in hex.
@@ -77,29 +77,29 @@
 /// A manifest with its signatures, in the form in which it is stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Signed {
+pub struct SignedManifest {
     /// The JSON of the manifest, exactly as it was signed.
     pub manifest: String,
     /// The signatures.
-    pub seals: Vec<Seal>,
+    pub seals: Vec<ManifestSignature>,
 }
 
-impl Signed {
+impl SignedManifest {
     /// Serializes a manifest, without signatures.
     ///
     /// # Panics
     /// Never: a manifest always serializes.
-    pub fn new(manifest: &Manifest) -> Signed {
+    pub fn new(manifest: &Manifest) -> SignedManifest {
         let manifest = serde_json::to_string(manifest).expect("a manifest serializes to JSON");
-        Signed { manifest, seals: vec![] }
+        SignedManifest { manifest, seals: vec![] }
     }
 
     /// Adds a signature, which replaces an earlier one by the same key.
-    pub fn sign(&mut self, secret: &Secret) {
+    pub fn sign(&mut self, secret: &SecretKey) {
         let key = secret.public();
         let signature = hex::encode(secret.0.sign(self.manifest.as_bytes()).to_bytes());
         self.seals.retain(|seal| seal.key != key);
-        self.seals.push(Seal { key, signature });
+        self.seals.push(ManifestSignature { key, signature });
     }
 
     /// The digest under which it is stored.
@@ -110,20 +110,20 @@
 
 /// A signing key.
 #[derive(Clone, Debug)]
-pub struct Secret(SigningKey);
+pub struct SecretKey(SigningKey);
 
-impl Secret {
+impl SecretKey {
     /// Generates a key with the random number generator of the operating system.
-    pub fn generate() -> Secret {
-        Secret(SigningKey::generate(&mut rand::rngs::OsRng))
+    pub fn generate() -> SecretKey {
+        SecretKey(SigningKey::generate(&mut rand::rngs::OsRng))
     }
 
     /// Parses a key in hex.
     ///
     /// # Errors
     /// Fails unless the text is 64 hex digits.
-    pub fn from_hex(text: &str) -> Result<Secret, Error> {
-        decode::<KEY_BYTES>(text.trim()).map(|bytes| Secret(SigningKey::from_bytes(&bytes)))
+    pub fn from_hex(text: &str) -> Result<SecretKey, Error> {
+        decode::<KEY_BYTES>(text.trim()).map(|bytes| SecretKey(SigningKey::from_bytes(&bytes)))
     }
 
     /// Returns the key in hex.
@@ -269,7 +269,7 @@
 ///
 /// # Errors
 /// Fails unless at least `needed` distinct keys of `trusted` signed the manifest.
-pub fn verify(signed: &Signed, trusted: &[String], needed: usize) -> Result<Manifest, Error> {
+pub fn verify(signed: &SignedManifest, trusted: &[String], needed: usize) -> Result<Manifest, Error> {
     let mut valid = BTreeSet::new();
     for seal in signed.seals.iter().filter(|seal| trusted.contains(&seal.key)) {
         let key = VerifyingKey::from_bytes(&decode::<KEY_BYTES>(&seal.key)?)
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
-use yaml::{Mistake, Reader};
+use yaml::{ConfigError, Reader};
 
 /// The keys that the settings may contain, as listed in error messages.
 const KNOWN_KEYS: &str =
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// Returns every mistake with its line.
-    pub fn read(text: &str) -> Result<Settings, Vec<Mistake>> {
+    pub fn read(text: &str) -> Result<Settings, Vec<ConfigError>> {
         let read = yaml::read(text, |reader, mut root| {
             let name = reader.require::<String>(&mut root, "name");
             let data_centre = reader.require::<String>(&mut root, "data-centre");
--- a/crates/harness/src/fleet.rs
+++ b/crates/harness/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::caller::Caller;
 use crate::plan::Plan;
 use crate::process::Process;
-use bundle::{Bundle, Secret};
+use bundle::{Bundle, SecretKey};
 use net::Client;
 use roll::{Accepted, Package};
 use router::{Listen, Settings, Trust};
@@ -66,7 +66,7 @@
     /// The routers.
     pub nodes: Vec<Node>,
     /// The keys that sign bundles.
-    pub secrets: Vec<Secret>,
+    pub secrets: Vec<SecretKey>,
     /// The plan.
     pub plan: Plan,
     /// The bundle as it was rolled last.
@@ -129,7 +129,7 @@
             engine_proxies,
             service,
             nodes: vec![],
-            secrets: vec![Secret::generate(), Secret::generate()],
+            secrets: vec![SecretKey::generate(), SecretKey::generate()],
             bundle,
             plan,
             program: program.to_owned(),
@@ -164,7 +164,7 @@
             seeds: self.nodes.iter().map(|node| node.from_peers.address()).collect(),
             fleet_keys: vec![FLEET_KEY.to_owned()],
             trust: Trust {
-                keys: self.secrets.iter().map(Secret::public).collect(),
+                keys: self.secrets.iter().map(SecretKey::public).collect(),
                 needed: self.plan.needed,
             },
             limits: self.plan.node.clone(),
@@ -253,7 +253,7 @@
         for secret in &self.secrets[..self.plan.needed] {
             package.signed.sign(secret);
         }
-        let trusted: Vec<String> = self.secrets.iter().map(Secret::public).collect();
+        let trusted: Vec<String> = self.secrets.iter().map(SecretKey::public).collect();
         let accepted = roll::roll(&services, &package, &trusted, self.plan.needed).await?;
         self.bundle = bundle.clone();
         Ok(accepted)
--- a/crates/roll/src/accept.rs
+++ b/crates/roll/src/accept.rs
@@ -1,7 +1,7 @@
 //! Accepts bundles in a transaction, and reads accepted bundles.
 
 use crate::{Accepted, HEAD_KEY, LOG_PREFIX, Package, log_key, object_key};
-use bundle::{Bundle, Change, Manifest, Signed};
+use bundle::{Bundle, Change, Manifest, SignedManifest};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use store::{Platform, Row, Tx, TxOutcome};
 use uuid::Uuid;
@@ -88,7 +88,7 @@
     let accepted = decode(&key, &row.ok_or(Error::NoSequence(sequence))?)?;
     let text = load_text(platform, &accepted.manifest).await?;
     let unreadable = |error: serde_json::Error| Error::Unreadable("manifest".to_owned(), error.to_string());
-    let signed: Signed = serde_json::from_str(&text).map_err(unreadable)?;
+    let signed: SignedManifest = serde_json::from_str(&text).map_err(unreadable)?;
     let manifest: Manifest = serde_json::from_str(&signed.manifest).map_err(unreadable)?;
     let mut sections = std::collections::BTreeMap::new();
     for digest in manifest.sections.values() {
--- a/crates/roll/src/lib.rs
+++ b/crates/roll/src/lib.rs
@@ -6,9 +6,9 @@
 //! lost, its outcome is found by reading the log entry and comparing its token, which is unique to the roll.
 //!
 //! ```
-//! use bundle::{Bundle, Secret};
+//! use bundle::{Bundle, SecretKey};
 //!
-//! let secret = Secret::generate();
+//! let secret = SecretKey::generate();
 //! let mut package = roll::Package::new(&Bundle::default(), 0, None, "first");
 //! package.signed.sign(&secret);
 //! assert!(package.verify(&[secret.public()], 1).is_ok());
--- a/crates/roll/src/package.rs
+++ b/crates/roll/src/package.rs
@@ -1,6 +1,6 @@
 //! A signed bundle in one file: the manifest, its signatures and the sections.
 
-use bundle::{Bundle, Error, Manifest, Signed};
+use bundle::{Bundle, Error, Manifest, SignedManifest};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Package {
     /// The manifest and its signatures.
-    pub signed: Signed,
+    pub signed: SignedManifest,
     /// The JSON of the sections, by digest.
     pub sections: BTreeMap<String, String>,
 }
@@ -23,7 +23,7 @@
         let manifest = Manifest { parent, rollback_to, sections: names, note: note.to_owned() };
         let sections =
             split.into_iter().map(|section| (bundle::digest(&section.json), section.json)).collect();
-        Package { signed: Signed::new(&manifest), sections }
+        Package { signed: SignedManifest::new(&manifest), sections }
     }
 
     /// Verifies the signatures and the sections.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
-use yaml::{Mistake, Reader};
+use yaml::{ConfigError, Reader};
 
 /// The keys of the settings.
 const KEYS: &str = "name, data-centre, listen, platform, seeds, fleet-keys, trust, limits";
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     /// Returns every mistake, in the order of the lines.
-    pub fn read(text: &str) -> Result<Settings, Vec<Mistake>> {
+    pub fn read(text: &str) -> Result<Settings, Vec<ConfigError>> {
         let built = yaml::read(text, |reader, mut root| {
             let name = reader.require(&mut root, "name");
             let data_centre = reader.require(&mut root, "data-centre");
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -5,7 +5,7 @@
 use crate::node::{Access, InForce, Node};
 use crate::ports::Ports;
 use crate::settings::millis;
-use bundle::{Bundle, Manifest, Signed};
+use bundle::{Bundle, Manifest, SignedManifest};
 use net::exec;
 use peer::{Beat, LinkClient};
 use roll::{Accepted, HEAD_KEY, object_key};
@@ -98,7 +98,7 @@
 ) -> Result<InForce, Error> {
     let fetched = fetch(node, &[digest.to_owned()], source).await?;
     let text = fetched.get(digest).ok_or_else(|| Error::Fetch("the manifest is not there".to_owned()))?;
-    let signed: Signed = serde_json::from_str(text)
+    let signed: SignedManifest = serde_json::from_str(text)
         .map_err(|error| bundle::Error::Unreadable("signed manifest".to_owned(), error.to_string()))?;
     if signed.digest() != digest {
         return Err(Error::Digest);
--- a/crates/yaml/src/lib.rs
+++ b/crates/yaml/src/lib.rs
@@ -4,13 +4,13 @@
 //! let text = "port: no\nnode:\n  nane: x\n";
 //! #[derive(Debug, Default, serde::Deserialize)]
 //! struct Node { name: Option<String> }
-//! let mistakes = yaml::read(text, |reader, mut root| {
+//! let errors = yaml::read(text, |reader, mut root| {
 //!     reader.take::<u16>(&mut root, "port");
 //!     reader.take::<Node>(&mut root, "node");
 //! })
 //! .unwrap_err();
-//! assert_eq!(mistakes[0].line, 1);
-//! assert_eq!(mistakes[1].to_string(), "line 3: node.nane: unknown key");
+//! assert_eq!(errors[0].line, 1);
+//! assert_eq!(errors[1].to_string(), "line 3: node.nane: unknown key");
 //! ```
 
 use marked_yaml::Node;
@@ -21,7 +21,7 @@
 /// An error in a YAML text.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, thiserror::Error)]
 #[error("line {line}: {path}: {reason}")]
-pub struct Mistake {
+pub struct ConfigError {
     /// The line, starting at 1; 0 if it is unknown.
     pub line: usize,
     /// The key path, separated by dots.
@@ -34,35 +34,35 @@
 ///
 /// # Errors
 /// Returns all errors, sorted by line.
-pub fn read<T>(text: &str, build: impl FnOnce(&mut Reader, Mapping) -> T) -> Result<T, Vec<Mistake>> {
+pub fn read<T>(text: &str, build: impl FnOnce(&mut Reader, Mapping) -> T) -> Result<T, Vec<ConfigError>> {
     let root: Value = match serde_yaml_ng::from_str(text) {
         Ok(value) => value,
         Err(error) => {
             let line = error.location().map_or(0, |location| location.line());
-            return Err(vec![Mistake { line, path: "(file)".to_owned(), reason: error.to_string() }]);
+            return Err(vec![ConfigError { line, path: "(file)".to_owned(), reason: error.to_string() }]);
         }
     };
     let Value::Mapping(root) = root else {
         let reason = "must be a mapping".to_owned();
-        return Err(vec![Mistake { line: 1, path: "(file)".to_owned(), reason }]);
+        return Err(vec![ConfigError { line: 1, path: "(file)".to_owned(), reason }]);
     };
-    let mut reader = Reader { mistakes: vec![] };
+    let mut reader = Reader { errors: vec![] };
     let built = build(&mut reader, root);
-    if reader.mistakes.is_empty() {
+    if reader.errors.is_empty() {
         return Ok(built);
     }
     let marked = marked_yaml::parse_yaml(0, text).ok();
-    let mut mistakes: Vec<Mistake> = reader
-        .mistakes
+    let mut errors: Vec<ConfigError> = reader
+        .errors
         .into_iter()
-        .map(|(path, reason)| Mistake {
+        .map(|(path, reason)| ConfigError {
             line: marked.as_ref().map_or(0, |root| line_of(root, &path)),
             path: path.join("."),
             reason,
         })
         .collect();
-    mistakes.sort();
-    Err(mistakes)
+    errors.sort();
+    Err(errors)
 }
 
 /// Returns the line of the deepest part of `path` that exists in the text.
@@ -94,18 +94,18 @@
 /// Reads values from a YAML mapping and collects the errors.
 #[derive(Debug)]
 pub struct Reader {
-    mistakes: Vec<(Vec<String>, String)>,
+    errors: Vec<(Vec<String>, String)>,
 }
 
 impl Reader {
     /// Adds an error.
     pub fn add(&mut self, path: &[&str], reason: impl Into<String>) {
-        self.mistakes.push((path.iter().map(|part| (*part).to_owned()).collect(), reason.into()));
+        self.errors.push((path.iter().map(|part| (*part).to_owned()).collect(), reason.into()));
     }
 
     /// Whether no error has been found so far.
     pub fn is_clean(&self) -> bool {
-        self.mistakes.is_empty()
+        self.errors.is_empty()
     }
 
     /// Removes the value of `key` from the root and parses it; returns `None` if it is absent or invalid.
--- a/src/cmd/ctl/key.rs
+++ b/src/cmd/ctl/key.rs
@@ -1,7 +1,7 @@
 //! `tallypaddlectl key new`.
 
 use super::Error;
-use bundle::Secret;
+use bundle::SecretKey;
 use std::fs::OpenOptions;
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
@@ -23,7 +23,7 @@
     /// # Errors
     /// Fails if the file exists or can't be written.
     pub fn execute(&self) -> Result<(), Error> {
-        let secret = Secret::generate();
+        let secret = SecretKey::generate();
         let failed = |source| Error::File { path: self.out.display().to_string(), source };
         let mut file = OpenOptions::new()
             .create_new(true)
--- a/src/cmd/ctl/mod.rs
+++ b/src/cmd/ctl/mod.rs
@@ -22,7 +22,7 @@
 
 use super::{Error, invalid_file, read_file};
 use ::roll::Package;
-use bundle::{Bundle, Secret};
+use bundle::{Bundle, SecretKey};
 use router::Settings;
 use std::path::Path;
 use std::time::Duration;
@@ -34,11 +34,11 @@
 }
 
 fn read_bundle(path: &Path) -> Result<Bundle, Error> {
-    bundle::read(&read_file(path)?).map_err(|mistakes| invalid_file(path, &mistakes))
+    bundle::read(&read_file(path)?).map_err(|errors| invalid_file(path, &errors))
 }
 
-fn read_secret(path: &Path) -> Result<Secret, Error> {
-    Secret::from_hex(&read_file(path)?)
+fn read_secret(path: &Path) -> Result<SecretKey, Error> {
+    SecretKey::from_hex(&read_file(path)?)
         .map_err(|error| Error::Invalid(format!("{}: {error}", path.display())))
 }
 
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -91,15 +91,15 @@
 
 fn read_settings(path: &Path) -> Result<Settings, Error> {
     let text = read_file(path)?;
-    Settings::read(&text).map_err(|mistakes| invalid_file(path, &mistakes))
+    Settings::read(&text).map_err(|errors| invalid_file(path, &errors))
 }
 
 fn read_gateway_settings(path: &Path) -> Result<::gateway::Settings, Error> {
     let text = read_file(path)?;
-    ::gateway::Settings::read(&text).map_err(|mistakes| invalid_file(path, &mistakes))
+    ::gateway::Settings::read(&text).map_err(|errors| invalid_file(path, &errors))
 }
 
-fn invalid_file(path: &Path, mistakes: &[bundle::Mistake]) -> Error {
-    let lines = mistakes.iter().map(|mistake| format!("{}: {mistake}", path.display()));
+fn invalid_file(path: &Path, errors: &[bundle::ConfigError]) -> Error {
+    let lines = errors.iter().map(|error| format!("{}: {error}", path.display()));
     Error::Invalid(lines.collect::<Vec<_>>().join("\n"))
 }
--- a/tests/testsuite/bundles.rs
+++ b/tests/testsuite/bundles.rs
@@ -1,7 +1,7 @@
 //! Bundles: signed, accepted once, in force everywhere, never reverted.
 
 use crate::support::{fleet, line, program, run};
-use bundle::{Bundle, Secret};
+use bundle::{Bundle, SecretKey};
 use harness::{Ask, Fleet, Plan};
 use roll::{Accepted, HEAD_KEY, Package, object_key};
 use std::fmt::Write;
@@ -135,11 +135,11 @@
         plan.needed = 2;
         let fleet = fleet(plan).await;
         let bundle = changed(&fleet, 999);
-        let sign = |package: &mut Package, secrets: &[&Secret]| {
+        let sign = |package: &mut Package, secrets: &[&SecretKey]| {
             secrets.iter().for_each(|secret| package.signed.sign(secret));
         };
         let both = [&fleet.secrets[0], &fleet.secrets[1]];
-        let stranger = Secret::generate();
+        let stranger = SecretKey::generate();
         let mut cases = vec![];
         cases.push(("unsigned", Package::new(&bundle, 1, None, "")));
         let mut one = Package::new(&bundle, 1, None, "");
@@ -169,7 +169,7 @@
         sign(&mut replayed, &both);
         cases.push(("signed for another place in the history", replayed));
 
-        let trusted: Vec<String> = fleet.secrets.iter().map(Secret::public).collect();
+        let trusted: Vec<String> = fleet.secrets.iter().map(SecretKey::public).collect();
         let mut text = String::new();
         for (name, package) in &cases {
             let refused = roll::roll(&fleet.services(), package, &trusted, 2).await.expect_err("refused");
--- a/tests/testsuite/command_line.rs
+++ b/tests/testsuite/command_line.rs
@@ -202,7 +202,8 @@
     let path = folder.0.join("author.key");
     let first = ctl().args(["key", "new"]).arg(&path).output().expect("it runs");
     assert!(first.status.success());
-    let secret = bundle::Secret::from_hex(&std::fs::read_to_string(&path).expect("a file")).expect("a key");
+    let secret =
+        bundle::SecretKey::from_hex(&std::fs::read_to_string(&path).expect("a file")).expect("a key");
     assert_eq!(String::from_utf8_lossy(&first.stdout).trim(), secret.public());
     let mode = std::fs::metadata(&path).expect("a file").permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
