--- a/crates/store/src/http_adapter.rs
+++ b/crates/store/src/http_adapter.rs
@@ -50,8 +50,8 @@
             })?;
         match answer.status().as_u16() {
             200 | 404 => Ok(answer),
-            // The platform gives these before it changes anything. A 503 may come from a proxy in front of
-            // it, so its outcome is unknown.
+            // The platform returns these statuses before it changes anything. A 503 may come from a component
+            // in front of it, so the outcome is unknown.
             status @ (400 | 429) => {
                 Err(self.error(step, Fault::NotApplied, format!("refused with status {status}")))
             }
