--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,8 +1,8 @@
-//! The versioned bundle by which operators steer the fleet.
+//! The versioned configuration bundle of the fleet.
 //!
-//! A bundle is written in YAML ([`read`] checks it and reports every error with its line), split into
-//! [`Section`]s that are named by the hash of their content, and signed as a [`Manifest`]. Routers fetch
-//! only the sections that changed.
+//! Operators write a bundle in YAML; [`read`] checks it and reports all errors with their lines. It is split
+//! into [`Section`]s that are addressed by the hash of their content, and listed in a signed [`Manifest`].
+//! Routers fetch only the sections that changed.
 //!
 //! ```
 //! let text = "teams: {}\nupstreams: {}\nmodels: {}\n";
@@ -20,6 +20,7 @@
 pub use diff::{Change, diff};
 pub use model::{Budget, Bundle, Key, Limits, Model, Route, Service, Team, Upstream, Weighing, hash_key};
 pub use sign::{
-    Error, Manifest, Seal, Secret, Section, Signed, digest, is_top, join, split, team_digests, verify,
+    Error, Manifest, ManifestSignature, SecretKey, Section, SignedManifest, digest, is_named_by_manifest,
+    join, split, team_digests, verify,
 };
-pub use yaml::Mistake;
+pub use yaml::ConfigError;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -191,7 +191,7 @@
 async fn sweep<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     for round in 1u64.. {
         exec::sleep(SWEEP_INTERVAL).await;
-        node.pool.sweep();
+        node.pool.evict_expired();
         node.peer_reservations.expire();
         if round.is_multiple_of(SWEEPS_PER_LOG_LINE) {
             log::info!("store: event=calls {}", node.metrics.store_calls_line());
@@ -259,7 +259,7 @@
         node.set_phase(Phase::Draining);
         self.callers.stop();
         let drain_limit = node.settings.grace_period().saturating_sub(SETTLE_RESERVE);
-        while self.callers.open() > 0 && began.elapsed() < drain_limit {
+        while self.callers.open_connections() > 0 && began.elapsed() < drain_limit {
             exec::sleep(DRAIN_POLL_INTERVAL).await;
         }
         log::info!("gateway: event=drained open={}", node.open_requests.load(Ordering::Relaxed));
--- a/crates/gateway/src/store_metrics.rs
+++ b/crates/gateway/src/store_metrics.rs
@@ -3,7 +3,7 @@
 use crate::metrics::Metrics;
 use prometheus::{Histogram, IntCounterVec};
 use std::time::Instant;
-use store::rows::{Change, Commit, Feed, Page, Progress, Rows, Since};
+use store::rows::{Change, Commit, Feed, FeedQuery, Page, Progress, Rows};
 use store::{Error, Fault};
 
 /// A store that updates the metrics with each call.
@@ -70,7 +70,7 @@
         result
     }
 
-    async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
+    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
         let result = self.rows.feed(table, since).await;
         let bytes = match &result {
             Ok(Feed::Changes(page)) => page_bytes(page),
@@ -85,7 +85,7 @@
         result
     }
 
-    fn reporting(&self, progress: &Progress) -> MeteredRows<S> {
-        MeteredRows { rows: self.rows.reporting(progress), ..self.clone() }
+    fn with_progress(&self, progress: &Progress) -> MeteredRows<S> {
+        MeteredRows { rows: self.rows.with_progress(progress), ..self.clone() }
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -17,7 +17,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use store::Error;
-use store::rows::{Feed, Page, Progress, Record, Rows, Since};
+use store::rows::{Feed, FeedQuery, Page, Progress, Record, Rows};
 
 /// How long the store may hold a request for changes, in milliseconds. It bounds the time until a broken
 /// connection is noticed.
@@ -130,7 +130,7 @@
     let result = match follower.after {
         None => rows.list(table, "").await.map(Step::Full),
         Some(after) => {
-            let since = Since { after, wait_ms, most: follower.max_bytes };
+            let since = FeedQuery { after, wait_ms, most: follower.max_bytes };
             rows.feed(table, since).await.map(|feed| match feed {
                 Feed::Changes(page) => Step::Changes(page),
                 Feed::Lost => Step::Restart("history-lost"),
@@ -177,7 +177,8 @@
         let (table, _) = node.wire.manifest_row();
         let progress = Progress::default();
         node.set_manifest_progress(&progress);
-        let found = step(&node, &node.rows.reporting(&progress), table, &mut follower, FEED_WAIT_MS).await;
+        let found =
+            step(&node, &node.rows.with_progress(&progress), table, &mut follower, FEED_WAIT_MS).await;
         match &found {
             Step::Full(page) => evacuations.apply_all(&node, page),
             Step::Changes(page) => page.records.iter().for_each(|record| evacuations.apply(&node, record)),
--- a/crates/gateway/tests/unit/failover.rs
+++ b/crates/gateway/tests/unit/failover.rs
@@ -94,12 +94,12 @@
         Ok(self.transfer(self.rows.list(table, part).await?).await)
     }
 
-    async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
+    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
         self.respond().await?;
         self.rows.feed(table, since).await
     }
 
-    fn reporting(&self, progress: &Progress) -> TestStore {
+    fn with_progress(&self, progress: &Progress) -> TestStore {
         TestStore { progress: progress.clone(), ..self.clone() }
     }
 }
@@ -147,7 +147,7 @@
             began.elapsed()
         );
         assert!(rows.get("things", "", "one").is_some());
-        let since = Since { after: 0, wait_ms: 10, most: usize::MAX };
+        let since = FeedQuery { after: 0, wait_ms: 10, most: usize::MAX };
         assert!(matches!(failover.feed("things", since).await, Ok(Feed::Changes(_))));
 
         cut_off.set(Behaviour::Responsive);
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -16,7 +16,7 @@
 use hyper::body::Bytes;
 use net::exec;
 use std::net::SocketAddr;
-use upstream::{Call, Engine, Event, Events, Fault, Outcome, Reply, Usage};
+use upstream::{Call, CancelOutcome, Engine, Event, Events, Fault, Reply, Usage};
 
 /// The maximum number of times that a broken stream is resumed at the same engine.
 const MAX_RESUMES: u32 = 3;
@@ -263,11 +263,11 @@
     async fn abort_answer(&self, started_run: StartedRun, reason: &str) -> AttemptOutcome {
         let node = &self.node;
         match node.engine.cancel(started_run.address, &started_run.run).await {
-            Ok(Outcome::Stopped(usage)) => {
+            Ok(CancelOutcome::Stopped(usage)) => {
                 self.charge(usage.total());
                 slot::release(node, started_run.slot);
             }
-            Ok(Outcome::Unseen) | Err(_) => self.hold_until_known(started_run, Some(self.charge_of(0))),
+            Ok(CancelOutcome::Unseen) | Err(_) => self.hold_until_known(started_run, Some(self.charge_of(0))),
         }
         let message = format!("the answer broke off at the upstream: {reason}");
         let refusal = Refusal::not_run(StatusCode::BAD_GATEWAY, "upstream_broke", "stream", message)
@@ -282,12 +282,12 @@
         let node = &self.node;
         node.record_step(&self.admitted.id, "the caller went away");
         let execution = match node.engine.cancel(started_run.address, &started_run.run).await {
-            Ok(Outcome::Stopped(usage)) => {
+            Ok(CancelOutcome::Stopped(usage)) => {
                 self.charge(usage.total());
                 slot::release(node, started_run.slot);
                 Execution::Ran
             }
-            Ok(Outcome::Unseen) => {
+            Ok(CancelOutcome::Unseen) => {
                 node.grants.release(&self.admitted.access.budget, self.ask.max_tokens);
                 slot::release(node, started_run.slot);
                 Execution::NotRun
@@ -318,18 +318,18 @@
                 .retry_after(FAILED_RETRY_MS)
         };
         match node.engine.cancel(started_run.address, &started_run.run).await {
-            Ok(Outcome::Unseen) => {
+            Ok(CancelOutcome::Unseen) => {
                 slot::release(node, started_run.slot);
                 AttemptOutcome::RetryReserved(reason)
             }
-            Ok(Outcome::Stopped(usage)) if model.repeatable => {
+            Ok(CancelOutcome::Stopped(usage)) if model.repeatable => {
                 // The next run takes a new reservation; the tokens that this one consumed stay deducted.
                 slot::release(node, started_run.slot);
                 node.grants.write_off(budget, self.ask.max_tokens, usage.total());
                 node.metrics.wasted.inc_by(usage.total());
                 AttemptOutcome::RetryUnreserved(reason, Execution::Ran)
             }
-            Ok(Outcome::Stopped(usage)) => {
+            Ok(CancelOutcome::Stopped(usage)) => {
                 slot::release(node, started_run.slot);
                 self.charge(usage.total());
                 AttemptOutcome::Refuse(failed(Execution::Ran))
@@ -368,8 +368,8 @@
                     continue;
                 };
                 let tokens = match outcome {
-                    Outcome::Unseen => 0,
-                    Outcome::Stopped(usage) => usage.total(),
+                    CancelOutcome::Unseen => 0,
+                    CancelOutcome::Stopped(usage) => usage.total(),
                 };
                 let charge = charge.map(|charge| Charge { tokens, ..charge });
                 if charge.is_none() {
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -18,7 +18,7 @@
 use hyper::body::Bytes;
 use net::{Body, exec};
 use std::sync::Arc;
-use store::{Row, Table, Tx, Verdict};
+use store::{Row, Table, Tx, TxOutcome};
 
 /// The time after which a request is refused if its claim can't be inserted, in milliseconds.
 const CLAIM_TIMEOUT_MS: u64 = 2_000;
@@ -62,13 +62,13 @@
                     ClaimDecision::Attach(claim) => return Ok(ClaimResult::HeldBy(claim)),
                     ClaimDecision::Insert => execution = Execution::NotRun,
                 }
-                let tx = Tx::default().absent(&row_key).put(&row_key, &claim);
+                let tx = Tx::default().require_absent(&row_key).put(&row_key, &claim);
                 match node.platform.commit(&tx).await {
-                    Ok(Verdict::Applied) => {
+                    Ok(TxOutcome::Applied) => {
                         node.count_platform_call("claim", "applied");
                         return Ok(ClaimResult::Granted);
                     }
-                    Ok(Verdict::Conflict) => continue,
+                    Ok(TxOutcome::Conflict) => continue,
                     Err(error) => reason = error.to_string(),
                 }
             }
@@ -101,8 +101,8 @@
             if known.is_some_and(|known| matches!(known.state, ClaimState::Done(_))) {
                 return;
             }
-            let tx = Tx::default().unchanged(&row_key, row.as_ref()).put(&row_key, &claim);
-            if matches!(node.platform.commit(&tx).await, Ok(Verdict::Applied)) {
+            let tx = Tx::default().require_unchanged(&row_key, row.as_ref()).put(&row_key, &claim);
+            if matches!(node.platform.commit(&tx).await, Ok(TxOutcome::Applied)) {
                 return;
             }
         }
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -164,7 +164,7 @@
 
     /// The number of upstreams that serve the model.
     fn serving_count(&self) -> usize {
-        let upstreams = self.admitted.bundle.content.serving();
+        let upstreams = self.admitted.bundle.content.active_upstreams();
         upstreams.filter(|(_, upstream)| upstream.models.contains(&self.ask.model)).count()
     }
 
--- a/crates/router/src/leaving.rs
+++ b/crates/router/src/leaving.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use store::{List, Role, Vm};
+use store::{Role, Vm, VmList};
 use upstream::Engine;
 
 /// The maximum number of load reports per second that a router reads, however many upstreams it uses.
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -12,7 +12,7 @@
 use peer::{Heartbeat, LinkClient, Member};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use store::{List, Role};
+use store::{Role, VmList};
 
 /// The number of routers to which a router sends heartbeats, independent of the size of the fleet.
 const HEARTBEAT_FANOUT: usize = 6;
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -347,7 +347,7 @@
             exec::sleep(millis(DRAIN_POLL_MS)).await;
         }
         self.callers.stop();
-        while self.callers.open() > 0 {
+        while self.callers.open_connections() > 0 {
             exec::sleep(millis(DRAIN_POLL_MS)).await;
         }
         node.stopped.store(true, Ordering::Relaxed);
--- a/crates/router/src/ports.rs
+++ b/crates/router/src/ports.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Clock;
 use std::fmt::Debug;
-use store::Services;
+use store::Platform;
 use upstream::Engine;
 
 /// A set of adapters for the router's ports.
@@ -23,5 +23,5 @@
     /// The adapter for the upstreams.
     type Engine: Engine;
     /// The adapter for the platform's services.
-    type Platform: Services;
+    type Platform: Platform;
 }
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -56,11 +56,11 @@
     pub(crate) fn configure(&self, bundle: &Bundle, view: &FleetView, own_name: &str) {
         let routers = view.router_names();
         let upstreams: Vec<(&str, u32)> =
-            bundle.serving().map(|(name, upstream)| (name, upstream.slots)).collect();
+            bundle.active_upstreams().map(|(name, upstream)| (name, upstream.slots)).collect();
         let assigned = assign_slots(&upstreams, &routers);
         let mut state = self.lock();
         let mut mine = HashSet::new();
-        for (name, upstream) in bundle.serving() {
+        for (name, upstream) in bundle.active_upstreams() {
             let owners = &assigned[name];
             if let Some((_, slots)) = owners.iter().find(|(owner, _)| *owner == own_name) {
                 mine.insert(name);
@@ -177,7 +177,7 @@
         prefix: u64,
     ) -> Option<(String, Vec<String>)> {
         let serving: Vec<&str> = bundle
-            .serving()
+            .active_upstreams()
             .filter(|(_, upstream)| upstream.models.iter().any(|one| one == model))
             .map(|(name, _)| name)
             .collect();
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
-use yaml::{Mistake, Reader};
+use yaml::{ConfigError, Reader};
 
 /// The top-level keys.
 const KEYS: &str = "name, data-centre, listen, platform, seeds, fleet-keys, trust, limits";
@@ -140,14 +140,14 @@
     ///
     /// # Errors
     /// Returns all mistakes, in the order of the lines.
-    pub fn read(text: &str) -> Result<Settings, Vec<Mistake>> {
+    pub fn read(text: &str) -> Result<Settings, Vec<ConfigError>> {
         let built = yaml::read(text, |reader, mut root| {
-            let name = reader.need(&mut root, "name");
-            let data_centre = reader.need(&mut root, "data-centre");
-            let listen = reader.need(&mut root, "listen");
-            let platform = reader.need(&mut root, "platform");
-            let trust = reader.need(&mut root, "trust");
-            let fleet_keys = reader.need(&mut root, "fleet-keys");
+            let name = reader.require(&mut root, "name");
+            let data_centre = reader.require(&mut root, "data-centre");
+            let listen = reader.require(&mut root, "listen");
+            let platform = reader.require(&mut root, "platform");
+            let trust = reader.require(&mut root, "trust");
+            let fleet_keys = reader.require(&mut root, "fleet-keys");
             let seeds = reader.take(&mut root, "seeds").unwrap_or_default();
             let limits = reader.take(&mut root, "limits").unwrap_or_default();
             reader.finish(&root, KEYS);
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -6,14 +6,14 @@
 use crate::node::{Access, ActiveBundle, Node};
 use crate::ports::Ports;
 use crate::settings::millis;
-use bundle::{Bundle, Manifest, Signed};
+use bundle::{Bundle, Manifest, SignedManifest};
 use net::exec;
 use peer::{Heartbeat, LinkClient};
-use roll::{Accepted, HEAD, object_key};
+use roll::{Accepted, HEAD_KEY, object_key};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use store::{Store, Table};
+use store::{ObjectStore, Table};
 
 /// The maximum number of reads per second of the head row by all routers together.
 const FLEET_HEAD_READS_PER_S: u64 = 400;
@@ -44,7 +44,7 @@
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>) {
     membership::join_fleet(&node).await;
     while !node.is_stopped() {
-        match node.platform.read(&[HEAD.to_owned()]).await {
+        match node.platform.read(&[HEAD_KEY.to_owned()]).await {
             Ok(rows) => {
                 let head = rows.into_iter().next().flatten();
                 if let Some(head) = head.and_then(|row| row.decode::<Accepted>().ok()) {
@@ -99,7 +99,7 @@
 ) -> Result<ActiveBundle, Error> {
     let fetched = fetch_parts(node, &[digest.to_owned()], source).await?;
     let text = fetched.get(digest).ok_or_else(|| Error::Fetch("the manifest was not found".to_owned()))?;
-    let signed: Signed = serde_json::from_str(text)
+    let signed: SignedManifest = serde_json::from_str(text)
         .map_err(|error| bundle::Error::Unreadable("signed manifest".to_owned(), error.to_string()))?;
     if signed.digest() != digest {
         return Err(Error::Digest);
