--- a/crates/gateway/tests/unit/failover.rs
+++ b/crates/gateway/tests/unit/failover.rs
@@ -57,7 +57,7 @@
             let bytes: usize =
                 page.records.iter().filter_map(|record| record.value.as_ref()).map(Vec::len).sum();
             for _ in 0..bytes.div_ceil(CHUNK_BYTES) {
-                self.link.carry(CHUNK_BYTES).await;
+                self.link.transmit(CHUNK_BYTES).await;
                 self.progress.add(CHUNK_BYTES);
             }
         }
@@ -311,7 +311,8 @@
         rows.put("things", "", "large", vec![b'x'; LARGE_BYTES]);
         let store = TestStore::new(&rows);
         let (_other, handle) = helper(&TestStore::new(&rows)).await;
-        let by_other = Proxy::start_on(handle.address(), Some(store.link.clone())).await.expect("a proxy");
+        let by_other =
+            Proxy::start_with_link(handle.address(), Some(store.link.clone())).await.expect("a proxy");
         let failover = Failover::new(store.clone());
         failover.set_peers(&[by_other.address()]);
         store.set(Behaviour::OverLink);
@@ -324,7 +325,7 @@
             "{:?}, without other traffic it takes {alone:?}",
             began.elapsed()
         );
-        assert_eq!(by_other.passed(), 0, "bytes that arrived a second time");
+        assert_eq!(by_other.bytes_passed(), 0, "bytes that arrived a second time");
         assert!(!failover.lock().is_unreachable(), "the store counts as unreachable");
     });
 }
--- a/crates/gateway/tests/unit/notes.rs
+++ b/crates/gateway/tests/unit/notes.rs
@@ -108,7 +108,7 @@
         // The next note is written under the condition that the late one has not taken effect.
         rows.set_fault(RowsFault::None);
         write_note(&gateway, &mut version).await.expect("the next note is written");
-        assert_eq!(rows.land(), 0, "the late note can't overwrite the newer one");
+        assert_eq!(rows.apply_late_writes(), 0, "the late note can't overwrite the newer one");
     });
 }
 
--- a/crates/gateway/tests/unit/settle.rs
+++ b/crates/gateway/tests/unit/settle.rs
@@ -74,7 +74,7 @@
         assert_matches!(budget.reserve(4_000, Duration::from_millis(50)).await, Err(DenialReason::Away));
         rows.set_fault(RowsFault::None);
         let held = budget.reserve(4_000, RESERVE_TIMEOUT).await.expect("tokens");
-        rows.land();
+        rows.apply_late_writes();
         held.charge("r-1", 4_000);
         wait_for_pool(&rows, "the charge is settled", |pool| pool.spent == 4_000).await;
         let pool = pool(&rows);
--- a/crates/gateway/tests/unit/snapshot.rs
+++ b/crates/gateway/tests/unit/snapshot.rs
@@ -80,7 +80,7 @@
         list(&rows, 6);
         let first = gateway("vm-1", &rows);
         until("there is no snapshot", || has_snapshot(&rows)).await;
-        rows.drop_row(LIST, "", "engine-2");
+        rows.delete(LIST, "", "engine-2");
         rows.put(LIST, "", "engine-3", "narrator 127.0.0.1:9003 leaving");
         rows.put(LIST, "", "engine-9", "narrator 127.0.0.1:9009 warmup=900");
         let next = gateway("vm-2", &rows);
@@ -105,7 +105,7 @@
         let _first = gateway("vm-1", &rows);
         until("there is no snapshot", || has_snapshot(&rows)).await;
         rows.set_fault(RowsFault::HistoryGone);
-        rows.drop_row(LIST, "", "engine-2");
+        rows.delete(LIST, "", "engine-2");
         let next = gateway("vm-2", &rows);
         until("the removed upstream is still listed", knows(&next, 5)).await;
         assert!(full_reads(&next) > 0);
@@ -200,8 +200,8 @@
         until("there is no snapshot", || has_snapshot(&rows)).await;
         rows.set_fault(RowsFault::Down);
         exec::sleep(Duration::from_millis(1_300)).await;
-        (0..6).for_each(|index| rows.drop_row(LIST, "", &format!("engine-{index}")));
-        rows.drop_row(TABLE, PART, HEAD);
+        (0..6).for_each(|index| rows.delete(LIST, "", &format!("engine-{index}")));
+        rows.delete(TABLE, PART, HEAD);
         rows.set_fault(RowsFault::None);
         first.is_first.store(true, std::sync::atomic::Ordering::Relaxed);
         for _ in 0..40 {
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -43,7 +43,7 @@
         list(&rows, 6);
         let node = followed(&rows);
         until(&node, "all are listed", 6).await;
-        rows.drop_row(TABLE, "", "engine-2");
+        rows.delete(TABLE, "", "engine-2");
         until(&node, "one is gone", 5).await;
     });
 }
@@ -55,7 +55,7 @@
         list(&rows, 6);
         let node = followed(&rows);
         until(&node, "all are listed", 6).await;
-        outage(&rows, || rows.drop_row(TABLE, "", "engine-2")).await;
+        outage(&rows, || rows.delete(TABLE, "", "engine-2")).await;
         let ms = until(&node, "one is gone", 5).await;
         assert!(ms < RELIST_PERIOD_MS, "the removal took {ms} ms, as long as that of an expired entry");
     });
@@ -68,7 +68,7 @@
         list(&rows, 6);
         let node = followed(&rows);
         until(&node, "all are listed", 6).await;
-        outage(&rows, || (0..6).for_each(|index| rows.drop_row(TABLE, "", &format!("engine-{index}")))).await;
+        outage(&rows, || (0..6).for_each(|index| rows.delete(TABLE, "", &format!("engine-{index}")))).await;
         exec::sleep(Duration::from_millis(900)).await;
         assert_eq!(node.listings().len(), 6, "expired entries were removed at once");
         list(&rows, 5);
@@ -84,7 +84,7 @@
         let node = followed(&rows);
         until(&node, "all are listed", 3).await;
         rows.set_fault(RowsFault::HistoryGone);
-        rows.drop_row(TABLE, "", "engine-0");
+        rows.delete(TABLE, "", "engine-0");
         rows.put(TABLE, "", "engine-1", "narrator 127.0.0.1:9001 leaving");
         until(&node, "one is gone", 2).await;
         assert!(node.listings()["engine-1"].leaving);
@@ -191,18 +191,18 @@
         operator(&rows, "evacuated here", "{}");
         operator(&rows, "evacuated nowhere", "not what it should be");
         evacuated(&first, "two rows", &["here", "nowhere"]).await;
-        rows.drop_row("operator", "", "evacuated nowhere");
+        rows.delete("operator", "", "evacuated nowhere");
         evacuated(&first, "one data centre is restored", &["here"]).await;
 
         outage(&rows, || {
-            rows.drop_row("operator", "", "evacuated here");
+            rows.delete("operator", "", "evacuated here");
             operator(&rows, "evacuated there", "{}");
         })
         .await;
         evacuated(&first, "changes during an outage", &["there"]).await;
 
         rows.set_fault(RowsFault::HistoryGone);
-        rows.drop_row("operator", "", "evacuated there");
+        rows.delete("operator", "", "evacuated there");
         operator(&rows, "evacuated here", "{}");
         evacuated(&first, "after a full read", &["here"]).await;
         rows.set_fault(RowsFault::None);
--- a/crates/harness/src/audit.rs
+++ b/crates/harness/src/audit.rs
@@ -1,30 +1,30 @@
-//! Comparing what really happened, by the stand-ins' own records, with what must always hold.
+//! Audits of the budgets by the rows on the platform stand-in.
 
 use crate::fleet::Fleet;
 use budget::ledger::{Account, Pool};
 use std::collections::BTreeMap;
 
-/// The state of one budget by the platform's rows and the engines' records.
+/// The state of one budget by the platform's rows.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Audit {
     /// Prepaid tokens.
     pub credited: u64,
-    /// Recorded spend.
+    /// Tokens recorded as spent.
     pub spent: u64,
-    /// Tokens that routers hold, by the pool.
+    /// Tokens granted to routers and neither spent nor returned, by the pool.
     pub outstanding: u64,
-    /// Tokens that nobody holds.
+    /// Tokens in the pool that can be granted.
     pub free: u64,
-    /// The sums of the accounts agree with the pool.
+    /// Whether the sums over the accounts agree with the pool.
     pub accounts_agree: bool,
-    /// Every prepaid token is in exactly one place (I1).
+    /// Whether every prepaid token is free, outstanding or spent, and only one of these (I1).
     pub balanced: bool,
 }
 
-/// Reads the platform's rows of each budget.
+/// Audits each budget by the platform's rows.
 ///
 /// # Panics
-/// Panics if a row can't be decoded: the audit can't be made then.
+/// Panics if a row can't be decoded.
 pub fn audit(fleet: &Fleet) -> BTreeMap<String, Audit> {
     let accounts: Vec<Account> =
         fleet.platform.rows("account/").values().map(|row| row.decode().expect("an account row")).collect();
--- a/crates/harness/src/caller.rs
+++ b/crates/harness/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks that it got exactly its own answer.
+//! A client of routers that can check whether it got the complete answer to its own request.
 
 use eventsource_stream::Eventsource;
 use futures::StreamExt;
@@ -9,135 +9,143 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The longest time for an answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// The largest answer in bytes.
 const ANSWER_LIMIT: usize = 64 << 20;
 
-/// What a caller asks for.
+/// A chat request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ChatRequest {
     /// The model.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Tokens to generate.
-    pub tokens: u64,
+    /// The number of tokens to generate.
+    pub max_tokens: u64,
     /// Whether to stream.
     pub stream: bool,
     /// The idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-impl Ask {
-    /// A request without a key, not streamed.
-    pub fn new(model: &str, prompt: &str, tokens: u64) -> Ask {
-        Ask { model: model.to_owned(), prompt: prompt.to_owned(), tokens, stream: false, key: None }
+impl ChatRequest {
+    /// Creates a request that is not streamed and has no idempotency key.
+    pub fn new(model: &str, prompt: &str, max_tokens: u64) -> ChatRequest {
+        ChatRequest {
+            model: model.to_owned(),
+            prompt: prompt.to_owned(),
+            max_tokens,
+            stream: false,
+            idempotency_key: None,
+        }
     }
 
-    /// With an idempotency key.
+    /// Adds an idempotency key.
     #[must_use]
-    pub fn key(mut self, key: &str) -> Ask {
-        self.key = Some(key.to_owned());
+    pub fn with_key(mut self, key: &str) -> ChatRequest {
+        self.idempotency_key = Some(key.to_owned());
         self
     }
 
-    /// Streamed.
+    /// Asks for a streamed answer.
     #[must_use]
-    pub fn streamed(mut self) -> Ask {
+    pub fn streamed(mut self) -> ChatRequest {
         self.stream = true;
         self
     }
 }
 
-/// What a caller got.
+/// The answer to a request.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// The HTTP status; 0 if no answer came.
+    /// The HTTP status; 0 if there was no answer.
     pub status: u16,
-    /// The text.
+    /// The generated text, or the body of an answer that is not JSON.
     pub text: String,
-    /// The verdict on execution of an answer that says no.
+    /// Whether a request that failed was executed, as the answer says.
     pub execution: String,
-    /// The code of an answer that says no.
+    /// The error code of a request that failed.
     pub code: String,
-    /// The request's id.
-    pub request: String,
-    /// When to come back, in seconds.
+    /// The id that the router gave to the request.
+    pub request_id: String,
+    /// The time after which to retry, in seconds.
     pub retry_after: Option<u64>,
-    /// Prompt and generated tokens by the answer's usage.
+    /// The number of prompt and generated tokens, as the answer says.
     pub usage: u64,
-    /// Whether the stream ended with its mark.
+    /// Whether the body was received completely; a stream must end with `[DONE]`.
     pub complete: bool,
-    /// Time to the first token.
-    pub first: Option<Duration>,
-    /// Times between tokens.
-    pub gaps: Vec<Duration>,
+    /// The time to the first token, or to the whole answer if it is not streamed.
+    pub time_to_first_token: Option<Duration>,
+    /// The times between consecutive tokens of a stream.
+    pub token_intervals: Vec<Duration>,
 }
 
 impl Answer {
-    /// Whether it is whole and exactly the answer to `ask`.
-    pub fn is_whole(&self, ask: &Ask) -> bool {
-        self.status == 200 && self.complete && self.text == standin::answer(&ask.prompt, ask.tokens)
+    /// Whether this is the complete answer to `request`, with exactly the expected text.
+    pub fn is_complete_for(&self, request: &ChatRequest) -> bool {
+        self.status == 200
+            && self.complete
+            && self.text == standin::answer(&request.prompt, request.max_tokens)
     }
 }
 
-/// A caller at one router.
+/// A client of one router or engine.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
     address: SocketAddr,
     key: String,
-    straight: bool,
+    sends_run_id: bool,
 }
 
 impl Caller {
-    /// A caller with an access key.
+    /// Creates a caller with an access key.
     pub fn new(client: Client, address: SocketAddr, key: String) -> Caller {
-        Caller { client, address, key, straight: false }
+        Caller { client, address, key, sends_run_id: false }
     }
 
-    /// Asks an engine itself, as a router would.
+    /// Adds a run id to each chat request, as a router does, so that an engine accepts it.
     #[must_use]
-    pub fn straight(mut self) -> Caller {
-        self.straight = true;
+    pub fn with_run_ids(mut self) -> Caller {
+        self.sends_run_id = true;
         self
     }
 
-    /// Asks a model without streaming.
+    /// Sends a chat request without streaming.
     pub async fn chat(&self, model: &str, prompt: &str, tokens: u64) -> Answer {
-        self.ask(&Ask::new(model, prompt, tokens)).await
+        self.send_chat(&ChatRequest::new(model, prompt, tokens)).await
     }
 
-    /// Asks a model.
-    pub async fn ask(&self, ask: &Ask) -> Answer {
+    /// Sends a chat request and reads the whole answer.
+    pub async fn send_chat(&self, chat: &ChatRequest) -> Answer {
         let mut body = json!({
-            "model": ask.model,
-            "messages": [{"role": "user", "content": ask.prompt}],
-            "max_tokens": ask.tokens,
-            "stream": ask.stream,
+            "model": chat.model,
+            "messages": [{"role": "user", "content": chat.prompt}],
+            "max_tokens": chat.max_tokens,
+            "stream": chat.stream,
         });
-        if ask.stream {
+        if chat.stream {
             body["stream_options"] = json!({"include_usage": true});
         }
         let mut request = self.request("POST", "/v1/chat/completions", body.to_string());
-        if let Some(key) = &ask.key
+        if let Some(key) = &chat.idempotency_key
             && let Ok(value) = key.parse()
         {
             request.headers_mut().insert("idempotency-key", value);
         }
-        if self.straight
+        if self.sends_run_id
             && let Ok(run) = uuid::Uuid::new_v4().to_string().parse()
         {
             request.headers_mut().insert("x-run-id", run);
         }
-        let begun = Instant::now();
-        net::exec::timeout(PATIENCE, self.exchange(request, begun)).await.unwrap_or_default()
+        let started = Instant::now();
+        net::exec::timeout(REQUEST_TIMEOUT, self.exchange(request, started)).await.unwrap_or_default()
     }
 
-    /// Sends any request with the caller's key and reads the whole answer.
+    /// Sends a request built with [`Caller::request`] and reads the whole answer.
     pub async fn send(&self, request: Request<Body>) -> Answer {
-        net::exec::timeout(PATIENCE, self.exchange(request, Instant::now())).await.unwrap_or_default()
+        net::exec::timeout(REQUEST_TIMEOUT, self.exchange(request, Instant::now())).await.unwrap_or_default()
     }
 
     /// Builds a request with the caller's key.
@@ -154,7 +162,7 @@
             .expect("a valid request")
     }
 
-    async fn exchange(&self, request: Request<Body>, begun: Instant) -> Answer {
+    async fn exchange(&self, request: Request<Body>, started: Instant) -> Answer {
         let mut answer = Answer::default();
         let Ok(response) = self.client.send("ask", request).await else {
             return answer;
@@ -164,17 +172,17 @@
             let value = response.headers().get(name).and_then(|value| value.to_str().ok());
             value.unwrap_or_default().to_owned()
         };
-        answer.request = header("x-request-id");
+        answer.request_id = header("x-request-id");
         answer.execution = header("x-execution");
         answer.retry_after = header("retry-after").parse().ok();
         if header("content-type").starts_with("text/event-stream") {
-            read_stream(response.into_body(), begun, &mut answer).await;
+            read_stream(response.into_body(), started, &mut answer).await;
             return answer;
         }
         match net::collect(response.into_body(), ANSWER_LIMIT).await {
             Ok(bytes) => {
                 answer.complete = true;
-                answer.first = Some(begun.elapsed());
+                answer.time_to_first_token = Some(started.elapsed());
                 match serde_json::from_slice::<Value>(&bytes) {
                     Ok(json) => read_json(&json, &mut answer),
                     Err(_) => answer.text = String::from_utf8_lossy(&bytes).into_owned(),
@@ -197,13 +205,13 @@
     if let Some(error) = json.get("error") {
         answer.code = text(&error["code"]);
         answer.execution = text(&error["execution"]);
-        answer.request = text(&error["request_id"]);
+        answer.request_id = text(&error["request_id"]);
     }
 }
 
-async fn read_stream(body: hyper::body::Incoming, begun: Instant, answer: &mut Answer) {
+async fn read_stream(body: hyper::body::Incoming, started: Instant, answer: &mut Answer) {
     let mut events = Box::pin(BodyDataStream::new(body).eventsource());
-    let mut last = begun;
+    let mut last = started;
     while let Some(Ok(event)) = events.next().await {
         let now = Instant::now();
         if event.data == "[DONE]" {
@@ -219,9 +227,9 @@
         }
         if let Some(content) = json["choices"][0]["delta"]["content"].as_str() {
             answer.text.push_str(content);
-            match answer.first {
-                None => answer.first = Some(begun.elapsed()),
-                Some(_) => answer.gaps.push(now - last),
+            match answer.time_to_first_token {
+                None => answer.time_to_first_token = Some(started.elapsed()),
+                Some(_) => answer.token_intervals.push(now - last),
             }
             last = now;
         }
--- a/crates/harness/src/fleet.rs
+++ b/crates/harness/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting and breaking a fleet.
+//! A fleet of router processes whose connections a test can cut.
 
 use crate::caller::Caller;
 use crate::plan::Plan;
@@ -14,38 +14,38 @@
 use std::time::Duration;
 use store::{Role, Vm};
 
-/// The ports of each router, on an address of its own.
-const CALLERS: u16 = 7001;
-const PEERS: u16 = 7002;
-const OPERATORS: u16 = 7003;
-/// The secret of the fleet.
+/// The ports of the routers. Each router has its own address.
+const CALLERS_PORT: u16 = 7001;
+const PEERS_PORT: u16 = 7002;
+const OPERATORS_PORT: u16 = 7003;
+/// The key with which the routers authenticate to each other.
 const FLEET_KEY: &str = "loopback-fleet-key-0001";
-/// How long anything may take to happen before a test gives up on it.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How often a test looks whether it has happened.
-const LOOK: Duration = Duration::from_millis(10);
+/// The time after which [`Fleet::wait_until`] fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// The interval at which [`Fleet::wait_until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Numbers the routers of this process.
-static NEXT: AtomicU16 = AtomicU16::new(1);
+/// The number of the next router that this process starts.
+static NEXT_ROUTER: AtomicU16 = AtomicU16::new(1);
 
 /// One router of a fleet.
 #[derive(Debug)]
 pub struct Node {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it serves callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where it serves operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// Its settings file.
+    /// The settings file.
     pub settings: PathBuf,
-    /// Its connections to the platform.
+    /// The proxy between the router and the platform.
     pub to_platform: Proxy,
-    /// Its peers' connections to it.
+    /// The proxy through which its peers reach it.
     pub from_peers: Proxy,
-    /// The requests that peers pass on to it.
+    /// The proxy through which its peers forward requests to it.
     pub from_forwards: Proxy,
-    /// Its process.
+    /// The process.
     pub process: Process,
     vm: Vm,
     listed: bool,
@@ -59,7 +59,7 @@
     pub platform: Platform,
     /// The engines.
     pub engines: Vec<Engine>,
-    /// The proxies in front of the engines, if the plan asks for them.
+    /// The proxies in front of the engines, if [`Plan::engine_proxies`] is set.
     pub engine_proxies: Vec<Proxy>,
     /// The plain service.
     pub service: Service,
@@ -69,48 +69,49 @@
     pub secrets: Vec<Secret>,
     /// The plan.
     pub plan: Plan,
-    /// The bundle as it was rolled last.
+    /// The bundle that was accepted last.
     pub bundle: Bundle,
     program: PathBuf,
     folder: PathBuf,
     client: Client,
 }
 
-/// An address that no other router on this machine uses.
-fn own_address() -> IpAddr {
+/// Chooses a loopback address for a router, so that fleets of several tests can run at the same time.
+fn router_address() -> IpAddr {
     let pid = std::process::id();
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_ROUTER.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = pid.to_be_bytes();
     let middle = 10 + (u16::from(high) ^ (number >> 8)) % 240;
     IpAddr::V4(Ipv4Addr::new(127, middle as u8, low, (number & 0xff) as u8))
 }
 
 impl Fleet {
-    /// Starts a fleet of `program`'s routers, rolls the plan's bundle and waits until all are ready.
+    /// Starts a fleet with routers of `program`, rolls the plan's bundle and waits until all routers are
+    /// ready.
     ///
     /// # Panics
-    /// Panics if something can't be started: a test can't go on then.
+    /// Panics if a part of the fleet can't be started or is not ready in time.
     pub async fn start(program: &Path, plan: Plan) -> Fleet {
-        let mut fleet = Fleet::bare(program, plan).await;
+        let mut fleet = Fleet::start_without_routers(program, plan).await;
         fleet.roll(&fleet.bundle.clone()).await.expect("the first bundle is accepted");
         for index in 0..fleet.plan.routers {
             fleet.add_node(&format!("vm-{}", index + 1), "dc-0").await;
         }
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
         fleet
     }
 
-    /// Starts everything but the routers; no bundle is accepted yet.
+    /// Starts all parts but the routers, and rolls no bundle.
     ///
     /// # Panics
-    /// Panics if something can't be started.
-    pub async fn bare(program: &Path, plan: Plan) -> Fleet {
+    /// Panics if a part of the fleet can't be started.
+    pub async fn start_without_routers(program: &Path, plan: Plan) -> Fleet {
         let platform = Platform::start().await.expect("a platform starts");
         let service = Service::start().await.expect("a service starts");
         let mut engines = vec![];
         let mut engine_proxies = vec![];
-        for shape in &plan.engines {
-            let engine = Engine::start(shape.clone()).await.expect("an engine starts");
+        for config in &plan.engines {
+            let engine = Engine::start(config.clone()).await.expect("an engine starts");
             if plan.engine_proxies {
                 engine_proxies.push(Proxy::start(engine.address()).await.expect("a proxy starts"));
             }
@@ -138,15 +139,15 @@
         }
     }
 
-    /// Starts one more router and lists it.
+    /// Starts a router and adds it to the list of VMs.
     ///
     /// # Panics
     /// Panics if it can't be started.
     pub async fn add_node(&mut self, name: &str, data_centre: &str) {
-        let own = own_address();
-        let peers = SocketAddr::new(own, PEERS);
-        let callers = SocketAddr::new(own, CALLERS);
-        let operators = SocketAddr::new(own, OPERATORS);
+        let ip = router_address();
+        let peers = SocketAddr::new(ip, PEERS_PORT);
+        let callers = SocketAddr::new(ip, CALLERS_PORT);
+        let operators = SocketAddr::new(ip, OPERATORS_PORT);
         let to_platform = Proxy::start(self.platform.address()).await.expect("a proxy starts");
         let from_peers = Proxy::start(peers).await.expect("a proxy starts");
         let from_forwards = Proxy::start(callers).await.expect("a proxy starts");
@@ -165,9 +166,9 @@
             fleet_keys: vec![FLEET_KEY.to_owned()],
             trust: Trust {
                 keys: self.secrets.iter().map(Secret::public).collect(),
-                needed: self.plan.needed,
+                needed: self.plan.needed_signatures,
             },
-            limits: self.plan.node.clone(),
+            limits: self.plan.router_limits.clone(),
         };
         let path = self.folder.join(format!("{name}.yaml"));
         let log = self.folder.join(format!("{name}.log"));
@@ -194,10 +195,10 @@
             listed: true,
             log,
         });
-        self.list(&[]);
+        self.publish_vms(&[]);
     }
 
-    /// Starts a router's process again, with the same settings.
+    /// Kills a router's process and starts it again with the same settings.
     ///
     /// # Panics
     /// Panics if it can't be started.
@@ -208,8 +209,8 @@
             Process::start(&self.program, "serve", &node.settings, &node.log).expect("a router starts");
     }
 
-    /// Publishes the list of VMs, with these upstreams marked as leaving.
-    pub fn list(&self, leaving: &[&str]) {
+    /// Publishes the list of VMs, in which the upstreams in `leaving` are marked as leaving.
+    pub fn publish_vms(&self, leaving: &[&str]) {
         let mut vms: Vec<Vm> =
             self.nodes.iter().filter(|node| node.listed).map(|node| node.vm.clone()).collect();
         for (name, upstream) in &self.bundle.upstreams {
@@ -224,25 +225,25 @@
         self.platform.set_vms(vms);
     }
 
-    /// Takes a router out of the list of VMs, as the platform does once it is gone.
-    pub fn unlist(&mut self, index: usize) {
+    /// Removes a router from the list of VMs, as the platform does once a VM has ended.
+    pub fn remove_from_vms(&mut self, index: usize) {
         self.nodes[index].listed = false;
-        self.list(&[]);
+        self.publish_vms(&[]);
     }
 
-    /// Cuts a router off from the platform, or joins it again.
+    /// Cuts or restores a router's connection to the platform.
     pub fn cut_platform(&self, index: usize, cut: bool) {
-        self.nodes[index].to_platform.set(if cut { Rule::Cut } else { Rule::Pass });
+        self.nodes[index].to_platform.set_rule(if cut { Rule::Cut } else { Rule::Pass });
     }
 
-    /// Cuts a router off from its peers' calls, or joins it again.
+    /// Cuts or restores the connections through which its peers reach a router.
     pub fn cut_peers(&self, index: usize, cut: bool) {
         let rule = if cut { Rule::Cut } else { Rule::Pass };
-        self.nodes[index].from_peers.set(rule);
-        self.nodes[index].from_forwards.set(rule);
+        self.nodes[index].from_peers.set_rule(rule);
+        self.nodes[index].from_forwards.set_rule(rule);
     }
 
-    /// Signs and rolls a bundle with all keys that it needs.
+    /// Signs a bundle with as many keys as it needs, and rolls it.
     ///
     /// # Errors
     /// As [`roll::roll`].
@@ -250,41 +251,42 @@
         let services = self.services();
         let parent = roll::current(&services).await?.map_or(0, |accepted| accepted.sequence);
         let mut package = Package::new(bundle, parent, None, "test");
-        for secret in &self.secrets[..self.plan.needed] {
+        for secret in &self.secrets[..self.plan.needed_signatures] {
             package.signed.sign(secret);
         }
         let trusted: Vec<String> = self.secrets.iter().map(Secret::public).collect();
-        let accepted = roll::roll(&services, &package, &trusted, self.plan.needed).await?;
+        let accepted = roll::roll(&services, &package, &trusted, self.plan.needed_signatures).await?;
         self.bundle = bundle.clone();
         Ok(accepted)
     }
 
-    /// The platform as an operator reaches it.
+    /// A client of the platform that bypasses the proxies, like that of an operator.
     pub fn services(&self) -> store::Http {
         store::Http::new(self.client.clone(), self.platform.address(), Duration::from_secs(2))
     }
 
-    /// A caller of the first team at a router.
+    /// Creates a caller of the first team at a router.
     pub fn caller(&self, index: usize) -> Caller {
         self.caller_of(0, index)
     }
 
-    /// A caller of a team at a router.
+    /// Creates a caller of a team at a router.
     pub fn caller_of(&self, team: usize, index: usize) -> Caller {
         Caller::new(self.client.clone(), self.nodes[index].callers, self.plan.teams[team].key())
     }
 
-    /// Waits until every router is ready, knows its peers and has the accepted bundle in force.
+    /// Waits until every router is ready and counts all others as alive.
     ///
     /// # Panics
-    /// Panics if that does not happen in time.
-    pub async fn ready(&self) {
+    /// Panics if that takes too long.
+    pub async fn wait_until_ready(&self) {
         for index in 0..self.nodes.len() {
-            self.until("a router is ready", || async { self.get(index, "/ready").await.is_some() }).await;
+            self.wait_until("a router is ready", || async { self.get(index, "/ready").await.is_some() })
+                .await;
         }
         let others = self.nodes.len() - 1;
         for index in 0..self.nodes.len() {
-            self.until("the routers know each other", || async {
+            self.wait_until("the routers know each other", || async {
                 let status = self.status(index).await.unwrap_or_default();
                 status["peers"]["alive"].as_array().map(Vec::len) == Some(others)
             })
@@ -292,12 +294,12 @@
         }
     }
 
-    /// What a router says of itself.
+    /// The status page of a router, if it answers.
     pub async fn status(&self, index: usize) -> Option<serde_json::Value> {
         serde_json::from_str(&self.get(index, "/v1/status").await?).ok()
     }
 
-    /// What a router's operators' listener answers with status 200.
+    /// The body that a router's listener for operators answers for `path`, if the status is 200.
     pub async fn get(&self, index: usize, path: &str) -> Option<String> {
         let uri = format!("http://{}{path}", self.nodes[index].operators);
         let request = http::Request::get(uri).body(net::Body::empty()).ok()?;
@@ -306,19 +308,19 @@
         is_ok.then(|| String::from_utf8_lossy(answer.body()).into_owned())
     }
 
-    /// Waits until something is so.
+    /// Waits until a condition holds. `what` describes it in the panic message.
     ///
     /// # Panics
-    /// Panics if it does not become so in time.
-    pub async fn until<F: Future<Output = bool>>(&self, what: &str, so: impl Fn() -> F) {
+    /// Panics with the routers' logs if the condition does not hold in time.
+    pub async fn wait_until<F: Future<Output = bool>>(&self, what: &str, condition: impl Fn() -> F) {
         let waiting = async {
-            while !so().await {
-                net::exec::sleep(LOOK).await;
+            while !condition().await {
+                net::exec::sleep(POLL_INTERVAL).await;
             }
         };
-        if net::exec::timeout(PATIENCE, waiting).await.is_none() {
+        if net::exec::timeout(WAIT_TIMEOUT, waiting).await.is_none() {
             let logs: Vec<String> = self.nodes.iter().map(|node| node.process.log()).collect();
-            panic!("in vain: {what}\n{}", logs.join("\n--\n"));
+            panic!("timed out waiting until {what}\n{}", logs.join("\n--\n"));
         }
     }
 }
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -1,5 +1,5 @@
-//! A fleet on loopback for the demo, the tests and the benches: real router processes, stand-ins for what
-//! they meet, and a fault-injecting proxy in front of each connection that a test may want to break.
+//! A fleet on loopback for the demo, the tests and the benches: real router processes, stand-ins for the
+//! servers that they talk to, and fault-injecting proxies on the connections that a test may break.
 //!
 //! ```no_run
 //! # net::exec::start(2);
@@ -18,7 +18,7 @@
 mod process;
 
 pub use audit::{Audit, audit};
-pub use caller::{Answer, Ask, Caller};
+pub use caller::{Answer, Caller, ChatRequest};
 pub use fleet::{Fleet, Node};
 pub use plan::{Plan, TEAMS, TeamPlan};
 pub use process::Process;
--- a/crates/harness/src/plan.rs
+++ b/crates/harness/src/plan.rs
@@ -1,54 +1,54 @@
-//! What a fleet consists of.
+//! The parts and limits of a fleet.
 
 use budget::ledger::Credit;
 use bundle::{Budget, Bundle, Key, Limits, Model, Route, Service, Team, Upstream, Weighing, hash_key};
-use standin::Shape;
+use standin::EngineConfig;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The names of the first two teams.
+/// The names of the two teams of [`Plan::small`].
 pub const TEAMS: [&str; 2] = ["storm-desk", "field-office"];
 
-/// One team of a plan.
+/// A team of a fleet.
 #[derive(Clone, Debug)]
 pub struct TeamPlan {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its prepaid tokens.
+    /// The number of prepaid tokens.
     pub tokens: u64,
-    /// Its weight.
+    /// The weight.
     pub weight: u32,
-    /// Which error weighs more.
+    /// Whether refusals or overspend are worse for the team.
     pub weighing: Weighing,
 }
 
 impl TeamPlan {
-    /// Its access key.
+    /// The access key.
     pub fn key(&self) -> String {
         format!("sk-{}", self.name)
     }
 }
 
-/// What a fleet consists of.
+/// The parts and limits of a fleet.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// How many routers.
+    /// The number of routers.
     pub routers: usize,
-    /// The engines.
-    pub engines: Vec<Shape>,
-    /// Whether each engine is reached through a proxy of its own.
+    /// The configurations of the engines.
+    pub engines: Vec<EngineConfig>,
+    /// Whether routers reach each engine through a proxy.
     pub engine_proxies: bool,
     /// The teams.
     pub teams: Vec<TeamPlan>,
-    /// The models beside `narrator` and `hail-flag`.
+    /// The models in addition to `narrator` and `hail-flag`.
     pub models: BTreeMap<String, Model>,
-    /// What bounds the routers, by the bundle.
+    /// The limits in the bundle.
     pub limits: Limits,
-    /// What bounds the router processes, by their settings.
-    pub node: router::Limits,
-    /// How many signatures a bundle needs.
-    pub needed: usize,
+    /// The limits in the settings of the routers.
+    pub router_limits: router::Limits,
+    /// The number of signatures that a bundle needs.
+    pub needed_signatures: usize,
 }
 
 impl Plan {
@@ -60,15 +60,18 @@
             weight: 1,
             weighing: Weighing::Refusals,
         };
-        let shape = Shape { models: vec!["narrator".to_owned(), "hail-flag".to_owned()], ..Shape::default() };
+        let config = EngineConfig {
+            models: vec!["narrator".to_owned(), "hail-flag".to_owned()],
+            ..EngineConfig::default()
+        };
         Plan {
             routers: 3,
-            engines: vec![shape; 3],
+            engines: vec![config; 3],
             engine_proxies: false,
             teams: vec![team(TEAMS[0], 1_000_000), team(TEAMS[1], 200_000)],
             models: BTreeMap::new(),
             limits: Limits { budget_wait_ms: 1_000, ..Limits::default() },
-            node: router::Limits {
+            router_limits: router::Limits {
                 threads: 2,
                 sync_ms: 100,
                 poll_ms: 50,
@@ -80,11 +83,11 @@
                 peer_ms: 200,
                 ..router::Limits::default()
             },
-            needed: 1,
+            needed_signatures: 1,
         }
     }
 
-    /// The bundle of this plan with its parts at these addresses.
+    /// Builds the bundle for engines and a plain service at these addresses.
     pub fn bundle(&self, engines: &[SocketAddr], service: SocketAddr) -> Bundle {
         let teams = self.teams.iter().map(|team| {
             let credit = Credit { id: "prepaid-1".to_owned(), tokens: team.tokens };
@@ -94,13 +97,13 @@
                 Team { weight: team.weight, keys: vec![key], budgets: [("main".to_owned(), budget)].into() };
             (team.name.clone(), Arc::new(content))
         });
-        let upstreams = engines.iter().zip(&self.engines).enumerate().map(|(index, (address, shape))| {
+        let upstreams = engines.iter().zip(&self.engines).enumerate().map(|(index, (address, config))| {
             let upstream = Upstream {
                 address: *address,
                 data_centre: format!("dc-{}", index % 3),
-                slots: shape.slots,
-                models: shape.models.clone(),
-                checks_fence: shape.fences,
+                slots: config.slots,
+                models: config.models.clone(),
+                checks_fence: config.checks_fence,
             };
             (format!("engine-{}", index + 1), upstream)
         });
--- a/crates/harness/src/process.rs
+++ b/crates/harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A router process and the signals that a test sends it.
+//! A router process, which a test can pause, resume, stop and kill.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// A router process; it is killed when this is dropped.
+/// A router process. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -14,7 +14,7 @@
 }
 
 impl Process {
-    /// Starts `program command settings`, logging into `log`.
+    /// Starts `program command settings` and appends its output to the file `log`.
     ///
     /// # Errors
     /// Fails if the program can't be started.
@@ -31,47 +31,47 @@
         Ok(Process { child, log: log.to_owned() })
     }
 
-    /// Its process number.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Its log so far.
+    /// The content of the log file so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Kills it without warning.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Freezes it.
-    pub fn freeze(&self) {
+    /// Pauses the process with SIGSTOP.
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
-    pub fn thaw(&self) {
+    /// Resumes the process with SIGCONT.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to stop.
+    /// Asks the process to stop, with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has ended.
     ///
     /// # Errors
-    /// Fails if it was waited for before.
+    /// Fails if the operating system can't wait for the process.
     pub fn wait(&mut self) -> io::Result<ExitStatus> {
         self.child.wait()
     }
 
-    /// Its exit status, if it has ended.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// The exit status, if the process has ended.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -84,7 +84,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.thaw();
+        self.resume();
         self.kill();
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: batching slots, a prefix cache of limited size, a pace, resumable streams, orders.
+//! A model engine with batching slots, a prefix cache of limited size, a set time per token, resumable
+//! streams and orders to load models.
 
 use crate::{loopback, text};
 use event_listener::Event;
@@ -17,82 +18,83 @@
 
 /// The largest request body in bytes.
 const BODY_LIMIT: usize = 64 << 20;
-/// Bytes of a prompt that make its prefix.
+/// The number of bytes at the start of a prompt that form its prefix.
 const PREFIX_BYTES: usize = 256;
-/// The least share of a prompt's time that a cached prefix leaves.
-const CACHED_SHARE: f64 = 0.1;
-/// Cache events kept until they are reported.
-const EVENTS_KEPT: usize = 256;
+/// The share of the time for a prompt that is still needed if its prefix is cached.
+const CACHED_PROMPT_SHARE: f64 = 0.1;
+/// The number of latest cache events that load reports contain.
+const CACHE_EVENTS_REPORTED: usize = 256;
 
-/// How an engine is built.
+/// The configuration of an engine.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Runs in a batch.
+pub struct EngineConfig {
+    /// The number of runs that are executed at the same time.
     pub slots: u32,
-    /// Prefixes in the cache.
-    pub prefixes: usize,
-    /// Time for each prompt token without a cached prefix.
-    pub prompt_pace: Duration,
-    /// Time for each generated token.
-    pub pace: Duration,
-    /// Models loaded at the start.
+    /// The capacity of the prefix cache.
+    pub cached_prefixes: usize,
+    /// The time per prompt token if the prefix is not cached.
+    pub time_per_prompt_token: Duration,
+    /// The time per generated token.
+    pub time_per_token: Duration,
+    /// The models that are loaded at the start.
     pub models: Vec<String>,
-    /// How old a load report is.
-    pub lag: Duration,
-    /// Whether orders with an old fencing number are refused.
-    pub fences: bool,
+    /// The least age of the load in a report, once there is one that old.
+    pub report_lag: Duration,
+    /// Whether orders with a fencing number below the highest received are refused.
+    pub checks_fence: bool,
 }
 
-impl Default for Shape {
+impl Default for EngineConfig {
     fn default() -> Self {
-        Shape {
+        EngineConfig {
             slots: 8,
-            prefixes: 32,
-            prompt_pace: Duration::from_micros(20),
-            pace: Duration::from_millis(2),
+            cached_prefixes: 32,
+            time_per_prompt_token: Duration::from_micros(20),
+            time_per_token: Duration::from_millis(2),
             models: vec!["narrator".to_owned()],
-            lag: Duration::ZERO,
-            fences: true,
+            report_lag: Duration::ZERO,
+            checks_fence: true,
         }
     }
 }
 
-/// How an engine misbehaves.
+/// A fault of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Fault {
-    /// It does not.
+    /// The engine works.
     #[default]
     None,
-    /// Each token takes so many times longer.
+    /// Each token takes this many times as long.
     Slow(f64),
-    /// New runs are refused before they start.
+    /// New runs are refused with status 503.
     Refuse,
-    /// Streams stop after so many events without ending; the run goes on.
+    /// Streams stay open but send nothing after this many events. The run continues, and a resumed stream
+    /// works.
     Stall(usize),
-    /// Streams break after so many events; the run goes on and can be resumed.
+    /// Streams are aborted after this many events. The run continues, and a resumed stream works.
     Break(usize),
-    /// As [`Fault::Break`], and resuming fails too.
-    BreakForGood(usize),
+    /// Like [`Fault::Break`], but streams can't be resumed.
+    BreakPermanently(usize),
 }
 
-/// What an engine really did, for audits.
+/// What an engine executed, for audits.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ledger {
-    /// Runs started by run id, with the router that started each.
+pub struct EngineRecord {
+    /// The router that started each run, by run id.
     pub started: BTreeMap<String, String>,
-    /// Usage of each run so far.
+    /// The usage of each run so far, by run id.
     pub usage: BTreeMap<String, Usage>,
-    /// Runs that neither ended nor were cancelled.
-    pub open: Vec<String>,
-    /// Executions by prompt.
-    pub prompts: BTreeMap<String, u64>,
-    /// Slots beyond the limit that were asked for, times seconds.
-    pub overrun: f64,
-    /// Prompts found in the cache.
-    pub hits: u64,
-    /// Prompts not found in the cache.
-    pub misses: u64,
-    /// Orders that were obeyed.
+    /// The ids of the runs that have neither ended nor been cancelled.
+    pub open_runs: Vec<String>,
+    /// The number of runs per prompt.
+    pub executions: BTreeMap<String, u64>,
+    /// The time that runs spent in the queue because all slots were taken, summed over the runs, in seconds.
+    pub queued_s: f64,
+    /// The number of prompts whose prefix was cached.
+    pub cache_hits: u64,
+    /// The number of prompts whose prefix was not cached.
+    pub cache_misses: u64,
+    /// The orders that were carried out.
     pub orders: Vec<Order>,
 }
 
@@ -110,24 +112,28 @@
 
 #[derive(Debug)]
 struct State {
-    shape: Shape,
+    config: EngineConfig,
     fault: Fault,
     leaving: bool,
     running: u32,
+    /// The runs that wait for a slot, by priority and arrival.
     queue: BTreeMap<(u8, u64), async_channel::Sender<()>>,
     arrivals: u64,
     runs: HashMap<String, Run>,
-    refused: Vec<String>,
+    /// Runs that were cancelled before they arrived.
+    cancelled_early: Vec<String>,
     cache: VecDeque<u64>,
     cache_events: VecDeque<CacheEvent>,
     cache_sequence: u64,
     fence: u64,
-    over_since: Option<Instant>,
+    /// The time up to which the queued time is recorded; `None` if the queue is empty.
+    queued_since: Option<Instant>,
+    /// Load reports and the times at which they were made.
     reports: VecDeque<(Instant, Load)>,
-    ledger: Ledger,
+    record: EngineRecord,
 }
 
-/// A running engine.
+/// A running engine; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Engine {
     state: Arc<Mutex<State>>,
@@ -139,23 +145,23 @@
     ///
     /// # Errors
     /// Fails if no port can be bound.
-    pub async fn start(shape: Shape) -> io::Result<Engine> {
+    pub async fn start(config: EngineConfig) -> io::Result<Engine> {
         let state = Arc::new(Mutex::new(State {
-            shape,
+            config,
             fault: Fault::None,
             leaving: false,
             running: 0,
             queue: BTreeMap::new(),
             arrivals: 0,
             runs: HashMap::new(),
-            refused: vec![],
+            cancelled_early: vec![],
             cache: VecDeque::new(),
             cache_events: VecDeque::new(),
             cache_sequence: 0,
             fence: 0,
-            over_since: None,
+            queued_since: None,
             reports: VecDeque::new(),
-            ledger: Ledger::default(),
+            record: EngineRecord::default(),
         }));
         let shared = state.clone();
         let server =
@@ -163,35 +169,35 @@
         Ok(Engine { state, server: Arc::new(server) })
     }
 
-    /// Where it listens.
+    /// The address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Makes it misbehave, or behave again.
-    pub fn set(&self, fault: Fault) {
+    /// Sets the fault from now on.
+    pub fn set_fault(&self, fault: Fault) {
         lock(&self.state).fault = fault;
     }
 
-    /// Marks it as leaving: it wants no new work.
-    pub fn leave(&self, leaving: bool) {
+    /// Sets whether its load reports say that it is leaving, so that it should get no new work.
+    pub fn set_leaving(&self, leaving: bool) {
         lock(&self.state).leaving = leaving;
     }
 
-    /// What it did so far.
-    pub fn ledger(&self) -> Ledger {
+    /// What the engine executed so far.
+    pub fn record(&self) -> EngineRecord {
         let mut state = lock(&self.state);
-        track_overrun(&mut state);
-        let mut ledger = state.ledger.clone();
+        record_queued_time(&mut state);
+        let mut record = state.record.clone();
         for (id, run) in &state.runs {
-            ledger.started.insert(id.clone(), run.router.clone());
-            *ledger.prompts.entry(run.prompt.clone()).or_insert(0) += 1;
-            ledger.usage.insert(id.clone(), usage(run));
+            record.started.insert(id.clone(), run.router.clone());
+            *record.executions.entry(run.prompt.clone()).or_insert(0) += 1;
+            record.usage.insert(id.clone(), usage(run));
             if !run.ended {
-                ledger.open.push(id.clone());
+                record.open_runs.push(id.clone());
             }
         }
-        ledger
+        record
     }
 }
 
@@ -203,19 +209,19 @@
     Usage { prompt_tokens: run.prompt_tokens, completion_tokens: run.generated }
 }
 
-fn track_overrun(state: &mut State) {
+fn record_queued_time(state: &mut State) {
     let now = Instant::now();
-    if let Some(since) = state.over_since.take() {
-        state.ledger.overrun += now.duration_since(since).as_secs_f64() * state.queue.len() as f64;
+    if let Some(since) = state.queued_since.take() {
+        state.record.queued_s += now.duration_since(since).as_secs_f64() * state.queue.len() as f64;
     }
     if !state.queue.is_empty() {
-        state.over_since = Some(now);
+        state.queued_since = Some(now);
     }
 }
 
-/// The part of a request's body that the engine reads.
+/// The fields of a completion request that the engine reads.
 #[derive(Debug, Deserialize)]
-struct Ask {
+struct CompletionRequest {
     model: String,
     #[serde(default)]
     messages: Vec<Message>,
@@ -231,8 +237,8 @@
     content: String,
 }
 
-impl Ask {
-    fn text(&self) -> String {
+impl CompletionRequest {
+    fn prompt_text(&self) -> String {
         let messages = self.messages.iter().map(|message| message.content.as_str());
         messages.chain([self.prompt.as_str()]).collect()
     }
@@ -248,20 +254,20 @@
         };
     }
     match path.as_str() {
-        "/v1/load" => report(&state),
-        "/v1/orders" => obey(&state, request).await,
+        "/v1/load" => report_load(&state),
+        "/v1/orders" => apply_order(&state, request).await,
         "/v1/chat/completions" | "/v1/completions" => start(state, request).await,
-        _ => failure(StatusCode::NOT_FOUND, "no such path"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-fn failure(status: StatusCode, message: &str) -> Response<Body> {
-    let mut response = reply(&json!({"error": {"message": message}}));
+fn error_response(status: StatusCode, message: &str) -> Response<Body> {
+    let mut response = json_response(&json!({"error": {"message": message}}));
     *response.status_mut() = status;
     response
 }
 
-fn reply(value: &impl serde::Serialize) -> Response<Body> {
+fn json_response(value: &impl serde::Serialize) -> Response<Body> {
     Response::new(Body::from(serde_json::to_vec(value).expect("answers serialize to JSON")))
 }
 
@@ -272,45 +278,58 @@
 async fn start(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Response<Body> {
     let chat = request.uri().path().contains("/chat/");
     let Some(run) = header(&request, "x-run-id") else {
-        return failure(StatusCode::BAD_REQUEST, "x-run-id is missing");
+        return error_response(StatusCode::BAD_REQUEST, "x-run-id is missing");
     };
     let router = header(&request, "x-router").unwrap_or_default();
     let priority = header(&request, "x-priority").and_then(|text| text.parse().ok()).unwrap_or(u8::MAX);
     let Ok(body) = net::collect(request.into_body(), BODY_LIMIT).await else {
-        return failure(StatusCode::BAD_REQUEST, "the body broke off");
+        return error_response(StatusCode::BAD_REQUEST, "the body broke off");
     };
-    let Ok(ask) = serde_json::from_slice::<Ask>(&body) else {
-        return failure(StatusCode::BAD_REQUEST, "the body is not understood");
+    let Ok(completion) = serde_json::from_slice::<CompletionRequest>(&body) else {
+        return error_response(StatusCode::BAD_REQUEST, "the body is not understood");
     };
-    let slot = match accept(&mut lock(&state), &run, &router, &ask, priority) {
+    let slot = match accept(&mut lock(&state), &run, &router, &completion, priority) {
         Ok(slot) => slot,
-        Err(Refused(status, message)) => return failure(status, message),
+        Err(Rejection(status, message)) => return error_response(status, message),
     };
-    net::exec::spawn(generate(state.clone(), run.clone(), ask.model.clone(), chat, ask.max_tokens, slot))
-        .detach();
-    if ask.stream {
-        return follow(&state, &run, 0);
+    net::exec::spawn(generate(
+        state.clone(),
+        run.clone(),
+        completion.model.clone(),
+        chat,
+        completion.max_tokens,
+        slot,
+    ))
+    .detach();
+    if completion.stream {
+        return stream_events(&state, &run, 0);
     }
-    whole(&state, &run, &ask.model, chat).await
+    respond_when_ended(&state, &run, &completion.model, chat).await
 }
 
-/// A run that is not accepted, and why.
-struct Refused(StatusCode, &'static str);
+/// The status and message for a run that is not accepted.
+struct Rejection(StatusCode, &'static str);
 
-/// A place in the batch, or in the queue for one.
-type Slot = Option<async_channel::Receiver<()>>;
+/// `None` if the run has a slot, or the channel that announces its slot.
+type SlotWait = Option<async_channel::Receiver<()>>;
 
-fn accept(state: &mut State, run: &str, router: &str, ask: &Ask, priority: u8) -> Result<Slot, Refused> {
+fn accept(
+    state: &mut State,
+    run: &str,
+    router: &str,
+    completion: &CompletionRequest,
+    priority: u8,
+) -> Result<SlotWait, Rejection> {
     if state.fault == Fault::Refuse {
-        return Err(Refused(StatusCode::SERVICE_UNAVAILABLE, "refusing"));
+        return Err(Rejection(StatusCode::SERVICE_UNAVAILABLE, "refusing"));
     }
-    if state.refused.iter().any(|refused| refused == run) {
-        return Err(Refused(StatusCode::CONFLICT, "the run was cancelled before it came"));
+    if state.cancelled_early.iter().any(|cancelled| cancelled == run) {
+        return Err(Rejection(StatusCode::CONFLICT, "the run was cancelled before it came"));
     }
-    if !state.shape.models.contains(&ask.model) {
-        return Err(Refused(StatusCode::NOT_FOUND, "the model is not loaded"));
+    if !state.config.models.contains(&completion.model) {
+        return Err(Rejection(StatusCode::NOT_FOUND, "the model is not loaded"));
     }
-    let prompt = ask.text();
+    let prompt = completion.prompt_text();
     let new = Run {
         router: router.to_owned(),
         prompt_tokens: text::prompt_tokens(&prompt),
@@ -322,20 +341,20 @@
         changed: Arc::new(Event::new()),
     };
     state.runs.insert(run.to_owned(), new);
-    track_overrun(state);
-    if state.running < state.shape.slots {
+    record_queued_time(state);
+    if state.running < state.config.slots {
         state.running += 1;
         return Ok(None);
     }
     let (sender, receiver) = async_channel::bounded(1);
     state.arrivals += 1;
     state.queue.insert((priority, state.arrivals), sender);
-    state.over_since.get_or_insert_with(Instant::now);
+    state.queued_since.get_or_insert_with(Instant::now);
     Ok(Some(receiver))
 }
 
 fn free_slot(state: &mut State) {
-    track_overrun(state);
+    record_queued_time(state);
     while let Some((_, waiter)) = state.queue.pop_first() {
         if waiter.try_send(()).is_ok() {
             return;
@@ -344,21 +363,28 @@
     state.running -= 1;
 }
 
-async fn generate(state: Arc<Mutex<State>>, id: String, model: String, chat: bool, most: u64, slot: Slot) {
+async fn generate(
+    state: Arc<Mutex<State>>,
+    id: String,
+    model: String,
+    chat: bool,
+    max_tokens: u64,
+    slot: SlotWait,
+) {
     if let Some(slot) = slot {
         let _ = slot.recv().await;
     }
-    let prefill = look_up(&mut lock(&state), &id);
+    let prefill = look_up_prefix(&mut lock(&state), &id);
     net::exec::sleep(prefill).await;
     let mut next = Instant::now();
     loop {
         let pace = {
             let mut state = lock(&state);
             let pace = match state.fault {
-                Fault::Slow(factor) => state.shape.pace.mul_f64(factor),
-                _ => state.shape.pace,
+                Fault::Slow(factor) => state.config.time_per_token.mul_f64(factor),
+                _ => state.config.time_per_token,
             };
-            if !emit(&mut state, &id, &model, chat, most) {
+            if !emit(&mut state, &id, &model, chat, max_tokens) {
                 free_slot(&mut state);
                 return;
             }
@@ -369,52 +395,52 @@
     }
 }
 
-/// Finds a run's prefix in the cache, or adds it; returns the time for the prompt.
-fn look_up(state: &mut State, id: &str) -> Duration {
+/// Looks up a run's prefix in the cache, adds it if it is missing, and returns the time for the prompt.
+fn look_up_prefix(state: &mut State, id: &str) -> Duration {
     let Some(run) = state.runs.get(id) else {
         return Duration::ZERO;
     };
-    let prefix = prefix_of(&run.prompt);
-    let time = state.shape.prompt_pace.mul_f64(run.prompt_tokens as f64);
+    let prefix = prefix_hash(&run.prompt);
+    let time = state.config.time_per_prompt_token.mul_f64(run.prompt_tokens as f64);
     if let Some(at) = state.cache.iter().position(|cached| *cached == prefix) {
         state.cache.remove(at);
         state.cache.push_back(prefix);
-        state.ledger.hits += 1;
-        return time.mul_f64(CACHED_SHARE);
+        state.record.cache_hits += 1;
+        return time.mul_f64(CACHED_PROMPT_SHARE);
     }
-    state.ledger.misses += 1;
+    state.record.cache_misses += 1;
     state.cache.push_back(prefix);
-    note_cache(state, prefix, true);
-    if state.cache.len() > state.shape.prefixes
+    record_cache_event(state, prefix, true);
+    if state.cache.len() > state.config.cached_prefixes
         && let Some(evicted) = state.cache.pop_front()
     {
-        note_cache(state, evicted, false);
+        record_cache_event(state, evicted, false);
     }
     time
 }
 
-fn note_cache(state: &mut State, prefix: u64, added: bool) {
+fn record_cache_event(state: &mut State, prefix: u64, added: bool) {
     state.cache_sequence += 1;
     state.cache_events.push_back(CacheEvent { sequence: state.cache_sequence, prefix, added });
-    if state.cache_events.len() > EVENTS_KEPT {
+    if state.cache_events.len() > CACHE_EVENTS_REPORTED {
         state.cache_events.pop_front();
     }
 }
 
-/// The hash by which engines and routers name a prompt's prefix.
-fn prefix_of(prompt: &str) -> u64 {
+/// The hash of a prompt's prefix, as in cache events.
+fn prefix_hash(prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)])
 }
 
-/// Emits the next event of a run; `false` once it has ended.
-fn emit(state: &mut State, id: &str, model: &str, chat: bool, most: u64) -> bool {
+/// Generates the next events of a run; `false` once the run has ended.
+fn emit(state: &mut State, id: &str, model: &str, chat: bool, max_tokens: u64) -> bool {
     let Some(run) = state.runs.get_mut(id) else {
         return false;
     };
     if run.cancelled {
         run.ended = true;
-    } else if run.generated < most {
+    } else if run.generated < max_tokens {
         let token = text::token(&run.prompt, run.generated);
         run.generated += 1;
         let choice = if chat {
@@ -448,8 +474,8 @@
         .to_string()
 }
 
-/// Streams a run's events from `offset` on.
-fn follow(state: &Arc<Mutex<State>>, id: &str, offset: usize) -> Response<Body> {
+/// Answers with a stream of a run's events from `offset` on.
+fn stream_events(state: &Arc<Mutex<State>>, id: &str, offset: usize) -> Response<Body> {
     let (pipe, body) = net::pipe();
     net::exec::spawn(write_events(state.clone(), id.to_owned(), offset, pipe)).detach();
     let mut response = Response::new(body);
@@ -470,7 +496,7 @@
         for event in fresh {
             match fault {
                 Fault::Break(after) if !resumed && offset >= after => return pipe.abort("broken").await,
-                Fault::BreakForGood(after) if offset >= after => return pipe.abort("broken").await,
+                Fault::BreakPermanently(after) if offset >= after => return pipe.abort("broken").await,
                 Fault::Stall(after) if !resumed && offset >= after => {
                     pipe.closed().await;
                     return;
@@ -492,15 +518,16 @@
     }
 }
 
-async fn whole(state: &Arc<Mutex<State>>, id: &str, model: &str, chat: bool) -> Response<Body> {
+/// Answers with the complete text of a run once it has ended.
+async fn respond_when_ended(state: &Arc<Mutex<State>>, id: &str, model: &str, chat: bool) -> Response<Body> {
     loop {
         let listener = {
             let state = lock(state);
             let Some(run) = state.runs.get(id) else {
-                return failure(StatusCode::INTERNAL_SERVER_ERROR, "the run is gone");
+                return error_response(StatusCode::INTERNAL_SERVER_ERROR, "the run is gone");
             };
             if run.cancelled {
-                return failure(StatusCode::INTERNAL_SERVER_ERROR, "the run was cancelled");
+                return error_response(StatusCode::INTERNAL_SERVER_ERROR, "the run was cancelled");
             }
             if run.ended {
                 let content = text::answer(&run.prompt, run.generated);
@@ -515,7 +542,7 @@
                 } else {
                     ("text_completion", json!({"index": 0, "text": content, "finish_reason": "length"}))
                 };
-                return reply(&json!({
+                return json_response(&json!({
                     "id": id, "object": object, "created": 0, "model": model, "choices": [choice], "usage": usage
                 }));
             }
@@ -529,9 +556,13 @@
     let offset = query.strip_prefix("offset=").and_then(|text| text.parse().ok()).unwrap_or(0);
     let gone = {
         let state = lock(state);
-        matches!(state.fault, Fault::BreakForGood(_)) || !state.runs.contains_key(id)
+        matches!(state.fault, Fault::BreakPermanently(_)) || !state.runs.contains_key(id)
     };
-    if gone { failure(StatusCode::NOT_FOUND, "no such stream") } else { follow(state, id, offset) }
+    if gone {
+        error_response(StatusCode::NOT_FOUND, "no such stream")
+    } else {
+        stream_events(state, id, offset)
+    }
 }
 
 fn cancel(state: &Arc<Mutex<State>>, id: &str) -> Response<Body> {
@@ -543,46 +574,46 @@
                 run.ended = true;
                 run.changed.notify(usize::MAX);
             }
-            reply(&Outcome::Stopped(usage(run)))
+            json_response(&Outcome::Stopped(usage(run)))
         }
         None => {
-            state.refused.push(id.to_owned());
-            reply(&Outcome::Unseen)
+            state.cancelled_early.push(id.to_owned());
+            json_response(&Outcome::Unseen)
         }
     }
 }
 
-fn report(state: &Arc<Mutex<State>>) -> Response<Body> {
+fn report_load(state: &Arc<Mutex<State>>) -> Response<Body> {
     let mut state = lock(state);
     let now = Instant::now();
     let load = Load {
-        slots: state.shape.slots,
+        slots: state.config.slots,
         running: state.running,
         waiting: state.queue.len() as u32,
         leaving: state.leaving,
-        models: state.shape.models.clone(),
+        models: state.config.models.clone(),
         cache: state.cache_events.iter().cloned().collect(),
     };
-    let lag = state.shape.lag;
+    let lag = state.config.report_lag;
     state.reports.push_back((now, load.clone()));
     while state.reports.get(1).is_some_and(|(at, _)| now.duration_since(*at) >= lag) {
         state.reports.pop_front();
     }
-    let old = state.reports.front().map_or(load, |(_, load)| load.clone());
-    reply(&old)
+    let lagged = state.reports.front().map_or(load, |(_, load)| load.clone());
+    json_response(&lagged)
 }
 
-async fn obey(state: &Arc<Mutex<State>>, request: Request<Incoming>) -> Response<Body> {
+async fn apply_order(state: &Arc<Mutex<State>>, request: Request<Incoming>) -> Response<Body> {
     let body = net::collect(request.into_body(), BODY_LIMIT).await.unwrap_or_default();
     let Ok(order) = serde_json::from_slice::<Order>(&body) else {
-        return failure(StatusCode::BAD_REQUEST, "the order is not understood");
+        return error_response(StatusCode::BAD_REQUEST, "the order is not understood");
     };
     let mut state = lock(state);
-    if state.shape.fences && order.fence < state.fence {
-        return reply(&Obeyed::Stale);
+    if state.config.checks_fence && order.fence < state.fence {
+        return json_response(&Obeyed::Stale);
     }
     state.fence = state.fence.max(order.fence);
-    state.shape.models.clone_from(&order.models);
-    state.ledger.orders.push(order);
-    reply(&Obeyed::Yes)
+    state.config.models.clone_from(&order.models);
+    state.record.orders.push(order);
+    json_response(&Obeyed::Yes)
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for what tallypaddle meets: the platform, model engines, plain services, and a
-//! fault-injecting TCP proxy. They keep records, so that a test can audit what really happened.
+//! Stand-ins for the servers that tallypaddle talks to: the platform, model engines and plain services, and a
+//! fault-injecting TCP proxy. They record what they execute, so that a test can audit it.
 //!
 //! ```
 //! net::exec::start(1);
@@ -16,14 +16,14 @@
 mod service;
 mod text;
 
-pub use engine::{Engine, Fault, Ledger, Shape};
+pub use engine::{Engine, EngineConfig, EngineRecord, Fault};
 pub use platform::{Counts, Mode, Platform, Rates};
 pub use proxy::{Link, Proxy, Rule};
 pub use rows::{RowsFault, TableRows};
 pub use service::Service;
 pub use text::{answer, prompt_tokens, token};
 
-/// Any free port on loopback.
+/// A loopback address with port 0, so that the system assigns a free port.
 pub fn loopback() -> std::net::SocketAddr {
     std::net::SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: table, objects and VM list in memory, with rate limits, outages and lost answers.
+//! A platform in memory: table, objects and VM list, with rate limits, outages and lost answers.
 
 use crate::loopback;
 use http::{Request, Response, StatusCode};
@@ -15,21 +15,22 @@
 /// The largest request body in bytes.
 const BODY_LIMIT: usize = 64 << 20;
 
-/// How the platform behaves.
+/// How the platform answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mode {
-    /// It works.
+    /// Calls are answered at once.
     #[default]
     Up,
-    /// It refuses every call.
+    /// Every call is refused with status 503.
     Down,
-    /// It answers late.
+    /// Every call is delayed by this time before it takes effect.
     Slow(Duration),
-    /// Its next so many commits take effect, and their answers are lost.
+    /// This many of the next writes take effect, but are answered with status 504. Then the mode is
+    /// [`Mode::Up`].
     LoseAnswers(u32),
 }
 
-/// Calls per second that the platform carries.
+/// The calls per second above which the platform answers with status 429.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
     /// Commits and object writes.
@@ -38,7 +39,7 @@
     pub reads: f64,
 }
 
-/// What the platform was asked.
+/// Counts of the calls to the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
     /// Commits and object writes that took effect.
@@ -49,7 +50,7 @@
     pub reads: u64,
     /// Commits whose checks failed.
     pub conflicts: u64,
-    /// Calls over the rates.
+    /// Calls refused because of the rate limits.
     pub limited: u64,
     /// Bytes of all request bodies and answers.
     pub bytes: u64,
@@ -65,32 +66,34 @@
     limits: Option<(Bucket, Bucket)>,
 }
 
+/// A token bucket that holds the calls of one second.
 #[derive(Debug)]
 struct Bucket {
     rate: f64,
-    level: f64,
-    filled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Bucket {
     fn new(rate: f64) -> Bucket {
-        Bucket { rate, level: rate, filled: Instant::now() }
+        Bucket { rate, tokens: rate, refilled_at: Instant::now() }
     }
 
-    fn take(&mut self) -> bool {
+    /// Takes a token; `false` if there is none.
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let gained = now.duration_since(self.filled).as_secs_f64() * self.rate;
-        self.level = (self.level + gained).min(self.rate);
-        self.filled = now;
-        let enough = self.level >= 1.0;
-        if enough {
-            self.level -= 1.0;
+        let added = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + added).min(self.rate);
+        self.refilled_at = now;
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        enough
+        has_token
     }
 }
 
-/// A running platform.
+/// A running platform; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
@@ -110,32 +113,32 @@
         Ok(Platform { state, server: Arc::new(server) })
     }
 
-    /// Where it listens.
+    /// The address that the platform listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes how it behaves.
-    pub fn set(&self, mode: Mode) {
+    /// Sets how calls are answered from now on.
+    pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
-    /// Limits the calls it carries.
-    pub fn limit(&self, rates: Rates) {
+    /// Sets the rate limits.
+    pub fn set_rates(&self, rates: Rates) {
         self.lock().limits = Some((Bucket::new(rates.writes), Bucket::new(rates.reads)));
     }
 
-    /// Replaces the VM list; until then it is stale.
+    /// Replaces the VM list. It does not change by itself when VMs come or go.
     pub fn set_vms(&self, vms: Vec<Vm>) {
         self.lock().vms = vms;
     }
 
-    /// What it was asked so far.
+    /// The calls so far.
     pub fn counts(&self) -> Counts {
         self.lock().counts
     }
 
-    /// The rows whose key starts with `prefix`, for audits.
+    /// The rows whose keys start with `prefix`, for audits.
     pub fn rows(&self, prefix: &str) -> BTreeMap<String, Row> {
         scan(&self.lock().rows, prefix)
     }
@@ -152,29 +155,29 @@
         .collect()
 }
 
-/// What happens to a call before it is carried out.
+/// The decision on a call before it is executed.
 enum Admission {
-    Serve { delay: Duration, lose: bool },
+    Serve { delay: Duration, lose_answer: bool },
     Refuse(StatusCode),
 }
 
 fn admit(state: &mut State, write: bool) -> Admission {
     if let Some((writes, reads)) = &mut state.limits {
         let bucket = if write { writes } else { reads };
-        if !bucket.take() {
+        if !bucket.try_take() {
             state.counts.limited += 1;
             return Admission::Refuse(StatusCode::TOO_MANY_REQUESTS);
         }
     }
     match state.mode {
-        Mode::Up => Admission::Serve { delay: Duration::ZERO, lose: false },
+        Mode::Up => Admission::Serve { delay: Duration::ZERO, lose_answer: false },
         Mode::Down => Admission::Refuse(StatusCode::SERVICE_UNAVAILABLE),
-        Mode::Slow(delay) => Admission::Serve { delay, lose: false },
+        Mode::Slow(delay) => Admission::Serve { delay, lose_answer: false },
         Mode::LoseAnswers(left) if write => {
             state.mode = if left > 1 { Mode::LoseAnswers(left - 1) } else { Mode::Up };
-            Admission::Serve { delay: Duration::ZERO, lose: true }
+            Admission::Serve { delay: Duration::ZERO, lose_answer: true }
         }
-        Mode::LoseAnswers(_) => Admission::Serve { delay: Duration::ZERO, lose: false },
+        Mode::LoseAnswers(_) => Admission::Serve { delay: Duration::ZERO, lose_answer: false },
     }
 }
 
@@ -182,21 +185,21 @@
     let path = request.uri().path().to_owned();
     let write = path == "/table/commit" || request.method() == http::Method::PUT;
     let Ok(body) = net::collect(request.into_body(), BODY_LIMIT).await else {
-        return plain(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
     let admission = admit(&mut state.lock().expect("the platform's lock"), write);
-    let (delay, lose) = match admission {
-        Admission::Refuse(status) => return plain(status),
-        Admission::Serve { delay, lose } => (delay, lose),
+    let (delay, lose_answer) = match admission {
+        Admission::Refuse(status) => return status_response(status),
+        Admission::Serve { delay, lose_answer } => (delay, lose_answer),
     };
     if !delay.is_zero() {
         net::exec::sleep(delay).await;
     }
-    let response = carry_out(&mut state.lock().expect("the platform's lock"), &path, write, &body);
-    if lose { plain(StatusCode::GATEWAY_TIMEOUT) } else { response }
+    let response = execute(&mut state.lock().expect("the platform's lock"), &path, write, &body);
+    if lose_answer { status_response(StatusCode::GATEWAY_TIMEOUT) } else { response }
 }
 
-fn carry_out(state: &mut State, path: &str, write: bool, body: &Bytes) -> Response<Body> {
+fn execute(state: &mut State, path: &str, write: bool, body: &Bytes) -> Response<Body> {
     state.counts.bytes += body.len() as u64;
     if !write {
         state.counts.reads += 1;
@@ -205,27 +208,27 @@
         "/table/read" => match serde_json::from_slice::<Vec<String>>(body) {
             Ok(keys) => {
                 let rows: Vec<_> = keys.iter().map(|key| state.rows.get(key).cloned()).collect();
-                json(state, &rows)
+                json_response(state, &rows)
             }
-            Err(_) => plain(StatusCode::BAD_REQUEST),
+            Err(_) => status_response(StatusCode::BAD_REQUEST),
         },
         "/table/scan" => match serde_json::from_slice::<String>(body) {
             Ok(prefix) => {
                 let rows = scan(&state.rows, &prefix);
-                json(state, &rows)
+                json_response(state, &rows)
             }
-            Err(_) => plain(StatusCode::BAD_REQUEST),
+            Err(_) => status_response(StatusCode::BAD_REQUEST),
         },
         "/table/commit" => match serde_json::from_slice::<Tx>(body) {
             Ok(tx) => {
                 let verdict = commit(state, tx);
-                json(state, &verdict)
+                json_response(state, &verdict)
             }
-            Err(_) => plain(StatusCode::BAD_REQUEST),
+            Err(_) => status_response(StatusCode::BAD_REQUEST),
         },
         "/vms" => {
             let vms = state.vms.clone();
-            json(state, &vms)
+            json_response(state, &vms)
         }
         _ => object(state, path, write, body),
     }
@@ -248,29 +251,29 @@
 
 fn object(state: &mut State, path: &str, write: bool, body: &Bytes) -> Response<Body> {
     let Some(key) = path.strip_prefix("/object/") else {
-        return plain(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
     if write {
         state.counts.writes += 1;
         state.objects.insert(key.to_owned(), body.clone());
-        return plain(StatusCode::OK);
+        return status_response(StatusCode::OK);
     }
     match state.objects.get(key) {
         Some(bytes) => {
             state.counts.bytes += bytes.len() as u64;
             Response::new(Body::from(bytes.clone()))
         }
-        None => plain(StatusCode::NOT_FOUND),
+        None => status_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn json(state: &mut State, value: &impl Serialize) -> Response<Body> {
+fn json_response(state: &mut State, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).expect("answers serialize to JSON");
     state.counts.bytes += bytes.len() as u64;
     Response::new(Body::from(bytes))
 }
 
-fn plain(status: StatusCode) -> Response<Body> {
+fn status_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
     response
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that delays, cuts, swallows or truncates what passes through it, at the rate of a link.
+//! A TCP proxy that can delay or block bytes, close connections early, and limit the rate to that of a link.
 
 use crate::loopback;
 use async_channel::Sender;
@@ -10,58 +10,58 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Bytes moved at once.
-const CHUNK: usize = 16 * 1024;
-/// How often a stuck direction looks whether the rule changed.
-const RECHECK: Duration = Duration::from_millis(5);
+/// The number of bytes read at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// The interval at which a task that waits for another rule checks it.
+const RULE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What happens to the bytes.
+/// How the proxy treats connections and their bytes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Rule {
-    /// They pass.
+    /// Bytes pass unchanged.
     #[default]
     Pass,
-    /// They pass late.
+    /// Each chunk is delayed by this time, in both directions.
     Delay(Duration),
-    /// Connections are closed, new ones too.
+    /// Open connections are closed, and new ones are closed as soon as they are accepted.
     Cut,
-    /// Connections are closed, and nothing listens: the process behind it has ended.
+    /// Open connections are closed and the port no longer listens, as if the process behind it had ended.
     Down,
-    /// Nothing passes towards the target.
-    HoleForward,
-    /// Nothing passes back.
-    HoleBack,
-    /// Each connection is closed after so many bytes came back.
-    DropAfter(usize),
+    /// Bytes towards the target are held back until the rule changes.
+    BlockForward,
+    /// Bytes from the target are held back until the rule changes.
+    BlockBack,
+    /// Each connection is closed after this many bytes from the target.
+    CloseAfter(usize),
 }
 
-/// The link of a VM: bytes towards it pass one after another, whichever connections they belong to.
+/// The network link of a VM. All connections share its rate for bytes towards the VM.
 #[derive(Debug)]
 pub struct Link {
     bytes_per_s: f64,
-    /// When the bytes that were handed over so far have passed.
+    /// When the link has transmitted all bytes that were handed to it so far.
     free_at: Mutex<Instant>,
 }
 
 impl Link {
-    /// A link that carries so many bytes in a second.
+    /// Creates a link with this rate.
     pub fn new(bytes_per_s: f64) -> Link {
         Link { bytes_per_s, free_at: Mutex::new(Instant::now()) }
     }
 
-    /// Waits until so many bytes have passed, after those that were handed over before.
-    pub async fn carry(&self, bytes: usize) {
-        let takes = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
+    /// Waits until the link has transmitted `bytes`, after all bytes that were handed to it before.
+    pub async fn transmit(&self, bytes: usize) {
+        let duration = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
         let until = {
             let mut free_at = self.free_at.lock().expect("the link's lock");
-            *free_at = (*free_at).max(Instant::now()) + takes;
+            *free_at = (*free_at).max(Instant::now()) + duration;
             *free_at
         };
         net::exec::sleep(until.saturating_duration_since(Instant::now())).await;
     }
 }
 
-/// A running proxy.
+/// A running proxy. Once all clones are dropped, it no longer listens.
 #[derive(Clone, Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -76,22 +76,23 @@
     /// # Errors
     /// Fails if no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Proxy> {
-        Proxy::start_on(target, None).await
+        Proxy::start_with_link(target, None).await
     }
 
-    /// Starts a proxy in front of `target`, for a VM whose link carries what comes back.
+    /// Starts a proxy in front of `target` for a client VM: bytes from the target are transmitted over
+    /// `link`.
     ///
     /// # Errors
     /// Fails if no port can be bound.
-    pub async fn start_on(target: SocketAddr, link: Option<Arc<Link>>) -> io::Result<Proxy> {
+    pub async fn start_with_link(target: SocketAddr, link: Option<Arc<Link>>) -> io::Result<Proxy> {
         let listener = TcpListener::bind(loopback()).await?;
         let address = listener.local_addr()?;
         let rule = Arc::new(Mutex::new(Rule::Pass));
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let passed = Arc::new(AtomicU64::new(0));
-        let way = Way { rule: rule.clone(), passed: passed.clone(), link };
+        let shared = Shared { rule: rule.clone(), passed: passed.clone(), link };
         net::exec::spawn(async move {
-            let accepting = accept(listener, address, target, &way);
+            let accepting = accept(listener, address, target, &shared);
             smol::future::or(accepting, async {
                 let _ = stopped.recv().await;
             })
@@ -101,78 +102,78 @@
         Ok(Proxy { address, rule, passed, _stop: stop })
     }
 
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes that passed in both directions.
-    pub fn passed(&self) -> u64 {
+    /// The number of bytes passed on in both directions.
+    pub fn bytes_passed(&self) -> u64 {
         self.passed.load(Ordering::Relaxed)
     }
 
-    /// Changes what happens to the bytes, on open connections too.
-    pub fn set(&self, rule: Rule) {
+    /// Sets the rule for open and new connections.
+    pub fn set_rule(&self, rule: Rule) {
         *self.rule.lock().expect("the rule's lock") = rule;
     }
 }
 
-/// What lies between the two ends of each connection.
+/// The state that the connections of a proxy share.
 #[derive(Clone)]
-struct Way {
+struct Shared {
     rule: Arc<Mutex<Rule>>,
     passed: Arc<AtomicU64>,
     link: Option<Arc<Link>>,
 }
 
-impl Way {
+impl Shared {
     fn rule(&self) -> Rule {
         *self.rule.lock().expect("the rule's lock")
     }
 
-    /// Waits until the rule is such a one.
-    async fn until(&self, is_such: impl Fn(Rule) -> bool) {
-        while !is_such(self.rule()) {
-            net::exec::sleep(RECHECK).await;
+    /// Waits until the rule satisfies `predicate`.
+    async fn wait_for_rule(&self, predicate: impl Fn(Rule) -> bool) {
+        while !predicate(self.rule()) {
+            net::exec::sleep(RULE_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Accepts connections, but for the times in which nothing listens.
-async fn accept(mut listener: TcpListener, address: SocketAddr, target: SocketAddr, way: &Way) {
+/// Accepts connections. While the rule is [`Rule::Down`], the port is closed.
+async fn accept(mut listener: TcpListener, address: SocketAddr, target: SocketAddr, shared: &Shared) {
     loop {
         let accepting = async {
             while let Ok((stream, _)) = listener.accept().await {
-                net::exec::spawn(relay(stream, target, way.clone())).detach();
+                net::exec::spawn(relay(stream, target, shared.clone())).detach();
             }
         };
-        smol::future::or(accepting, way.until(|rule| rule == Rule::Down)).await;
+        smol::future::or(accepting, shared.wait_for_rule(|rule| rule == Rule::Down)).await;
         drop(listener);
-        way.until(|rule| rule != Rule::Down).await;
+        shared.wait_for_rule(|rule| rule != Rule::Down).await;
         listener = loop {
             match TcpListener::bind(address).await {
                 Ok(listener) => break listener,
-                Err(_) => net::exec::sleep(RECHECK).await,
+                Err(_) => net::exec::sleep(RULE_POLL_INTERVAL).await,
             }
         };
     }
 }
 
-async fn relay(near: TcpStream, target: SocketAddr, way: Way) {
-    if way.rule() == Rule::Cut {
+async fn relay(client: TcpStream, target: SocketAddr, shared: Shared) {
+    if shared.rule() == Rule::Cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let forward = pump(near.clone(), far.clone(), &way, Direction::Forward);
-    let back = pump(far, near, &way, Direction::Back);
-    let cut = way.until(|rule| matches!(rule, Rule::Cut | Rule::Down));
-    let both = async {
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let forward = pump(client.clone(), server.clone(), &shared, Direction::Forward);
+    let back = pump(server, client, &shared, Direction::Back);
+    let closed = shared.wait_for_rule(|rule| matches!(rule, Rule::Cut | Rule::Down));
+    let transfer = async {
         futures::future::join(forward, back).await;
     };
-    smol::future::or(both, cut).await;
+    smol::future::or(transfer, closed).await;
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -181,28 +182,28 @@
     Back,
 }
 
-async fn pump(mut from: TcpStream, mut to: TcpStream, way: &Way, direction: Direction) {
-    let mut chunk = vec![0; CHUNK];
+async fn pump(mut from: TcpStream, mut to: TcpStream, shared: &Shared, direction: Direction) {
+    let mut chunk = vec![0; CHUNK_BYTES];
     let mut passed = 0;
     while let Ok(count @ 1..) = from.read(&mut chunk).await {
         let mut count = count;
-        while is_hole(way.rule(), direction) {
-            net::exec::sleep(RECHECK).await;
+        while is_blocked(shared.rule(), direction) {
+            net::exec::sleep(RULE_POLL_INTERVAL).await;
         }
-        if let Rule::Delay(delay) = way.rule() {
+        if let Rule::Delay(delay) = shared.rule() {
             net::exec::sleep(delay).await;
         }
-        if let (Some(link), Direction::Back) = (&way.link, direction) {
-            link.carry(count).await;
+        if let (Some(link), Direction::Back) = (&shared.link, direction) {
+            link.transmit(count).await;
         }
-        let mut last = false;
-        if let (Rule::DropAfter(limit), Direction::Back) = (way.rule(), direction) {
-            last = passed + count >= limit;
+        let mut is_last = false;
+        if let (Rule::CloseAfter(limit), Direction::Back) = (shared.rule(), direction) {
+            is_last = passed + count >= limit;
             count = count.min(limit.saturating_sub(passed));
         }
         passed += count;
-        way.passed.fetch_add(count as u64, Ordering::Relaxed);
-        if to.write_all(&chunk[..count]).await.is_err() || last {
+        shared.passed.fetch_add(count as u64, Ordering::Relaxed);
+        if to.write_all(&chunk[..count]).await.is_err() || is_last {
             break;
         }
     }
@@ -210,6 +211,6 @@
     let _ = from.shutdown(std::net::Shutdown::Both);
 }
 
-fn is_hole(rule: Rule, direction: Direction) -> bool {
-    matches!((rule, direction), (Rule::HoleForward, Direction::Forward) | (Rule::HoleBack, Direction::Back))
+fn is_blocked(rule: Rule, direction: Direction) -> bool {
+    matches!((rule, direction), (Rule::BlockForward, Direction::Forward) | (Rule::BlockBack, Direction::Back))
 }
--- a/crates/standin/src/rows.rs
+++ b/crates/standin/src/rows.rs
@@ -1,4 +1,4 @@
-//! A partitioned table service in memory, with the faults that tests need.
+//! A partitioned table service in memory, with faults that a test can set.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -6,48 +6,49 @@
 use store::rows::{Change, Commit, Feed, Key, Page, Record, Rows, Since};
 use store::{Error, Fault};
 
-/// How often a waiting watch looks for changes.
-const LOOK: Duration = Duration::from_millis(5);
+/// The interval at which a waiting feed checks for changes.
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What goes wrong at the next calls.
+/// A fault that affects all calls until it is changed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum RowsFault {
-    /// Nothing.
+    /// Calls succeed.
     #[default]
     None,
-    /// Every call fails and nothing is done.
+    /// Every call fails without effect.
     Down,
-    /// Writes take effect, but their answers are lost.
+    /// Writes take effect, but the client gets an error instead of the answer.
     LostAnswers,
-    /// Writes are neither answered nor done until [`TableRows::land`] is called.
+    /// Writes fail with an unknown outcome and take effect only when [`TableRows::apply_late_writes`] is
+    /// called.
     LateWrites,
-    /// Watches answer that the history is gone.
+    /// Feeds answer that the history is gone.
     HistoryGone,
 }
 
-type Place = (String, String, String);
+type RowKey = (String, String, String);
 
 #[derive(Debug, Default)]
 struct State {
-    rows: BTreeMap<Place, (u64, Option<Vec<u8>>)>,
-    /// Each change of a row, in order: a watch is told of all of them, also of those that later ones replaced.
-    history: Vec<(Place, u64, Option<Vec<u8>>)>,
+    rows: BTreeMap<RowKey, (u64, Option<Vec<u8>>)>,
+    /// Each change of a row, in order. A feed reports all of them, also those that later ones replaced.
+    history: Vec<(RowKey, u64, Option<Vec<u8>>)>,
     version: u64,
     fault: RowsFault,
-    late: Vec<Change>,
+    late_writes: Vec<Change>,
     commits: u64,
     conflicts: u32,
 }
 
 impl State {
-    /// Writes a row under the newest version.
-    fn write(&mut self, place: Place, value: Option<Vec<u8>>) {
-        self.history.push((place.clone(), self.version, value.clone()));
-        self.rows.insert(place, (self.version, value));
+    /// Writes a row with the current version of the table service.
+    fn write(&mut self, row_key: RowKey, value: Option<Vec<u8>>) {
+        self.history.push((row_key.clone(), self.version, value.clone()));
+        self.rows.insert(row_key, (self.version, value));
     }
 }
 
-/// The table service; clones share their rows.
+/// A table service; clones share their rows.
 #[derive(Clone, Debug)]
 pub struct TableRows {
     state: Arc<Mutex<State>>,
@@ -61,12 +62,13 @@
 }
 
 impl TableRows {
-    /// Sets what goes wrong from now on.
+    /// Sets the fault that affects calls from now on.
     pub fn set_fault(&self, fault: RowsFault) {
         self.lock().fault = fault;
     }
 
-    /// The same rows and clock without faults, for those that outlive a dead process: it goes on with the rows here.
+    /// Creates an independent copy with the same rows and clock and without a fault. A test of a crash
+    /// gives the copy to the next gateway, while the tasks of the crashed one still use the original.
     pub fn snapshot(&self) -> TableRows {
         let (rows, history, version) = {
             let state = self.lock();
@@ -78,47 +80,48 @@
 
     /// Writes a row without conditions, as the platform or an operator does.
     pub fn put(&self, table: &str, part: &str, name: &str, value: impl Into<Vec<u8>>) {
-        let place = (table.to_owned(), part.to_owned(), name.to_owned());
+        let row_key = (table.to_owned(), part.to_owned(), name.to_owned());
         let mut state = self.lock();
         state.version += 1;
-        state.write(place, Some(value.into()));
+        state.write(row_key, Some(value.into()));
     }
 
     /// Deletes a row.
-    pub fn drop_row(&self, table: &str, part: &str, name: &str) {
-        let place = (table.to_owned(), part.to_owned(), name.to_owned());
+    pub fn delete(&self, table: &str, part: &str, name: &str) {
+        let row_key = (table.to_owned(), part.to_owned(), name.to_owned());
         let mut state = self.lock();
         state.version += 1;
-        state.write(place, None);
+        state.write(row_key, None);
     }
 
-    /// The content of a row.
+    /// The content of a row; `None` if it does not exist.
     pub fn get(&self, table: &str, part: &str, name: &str) -> Option<Vec<u8>> {
-        let place = (table.to_owned(), part.to_owned(), name.to_owned());
-        self.lock().rows.get(&place).and_then(|(_, value)| value.clone())
+        let row_key = (table.to_owned(), part.to_owned(), name.to_owned());
+        self.lock().rows.get(&row_key).and_then(|(_, value)| value.clone())
     }
 
-    /// The keys of a partition of a table.
+    /// The names of the rows in a partition of a table.
     pub fn names(&self, table: &str, part: &str) -> Vec<String> {
         let state = self.lock();
-        let here =
+        let matching =
             state.rows.iter().filter(|((t, p, _), (_, value))| t == table && p == part && value.is_some());
-        here.map(|((_, _, name), _)| name.clone()).collect()
+        matching.map(|((_, _, name), _)| name.clone()).collect()
     }
 
-    /// Lets the writes that were held back take effect now, if their conditions hold; says how many did.
-    pub fn land(&self) -> usize {
+    /// Applies the writes that [`RowsFault::LateWrites`] held back, if their conditions hold, and returns the
+    /// number of those applied.
+    pub fn apply_late_writes(&self) -> usize {
         let mut state = self.lock();
-        let late = std::mem::take(&mut state.late);
-        late.iter().filter(|change| matches!(apply(&mut state, change), Commit::Applied(_))).count()
+        let late_writes = std::mem::take(&mut state.late_writes);
+        late_writes.iter().filter(|change| matches!(apply(&mut state, change), Commit::Applied(_))).count()
     }
 
-    /// Lets so many of the next writes meet another's: they answer that their conditions failed.
+    /// Makes the next `count` writes fail as if another client had changed a row that they check.
     pub fn set_conflicts(&self, count: u32) {
         self.lock().conflicts = count;
     }
 
-    /// How many writes took effect.
+    /// The number of writes that took effect.
     pub fn commits(&self) -> u64 {
         self.lock().commits
     }
@@ -128,7 +131,7 @@
     }
 
     fn fail(step: &'static str, fault: Fault) -> Error {
-        Error { step, peer: "stand-in".to_owned(), fault, reason: "as the test asked".to_owned() }
+        Error { step, peer: "stand-in".to_owned(), fault, reason: "fault set by the test".to_owned() }
     }
 
     fn now_ms(&self) -> u64 {
@@ -136,17 +139,17 @@
     }
 }
 
-fn place(part: &str, key: &Key) -> Place {
+fn row_key(part: &str, key: &Key) -> RowKey {
     (key.table.clone(), part.to_owned(), key.name.clone())
 }
 
 fn apply(state: &mut State, change: &Change) -> Commit {
-    let current = |key: &Key| state.rows.get(&place(&change.part, key));
-    // A deleted row has the version 0 for conditions.
+    let current = |key: &Key| state.rows.get(&row_key(&change.part, key));
+    // Conditions treat a deleted row as version 0, like a row that never existed.
     let version =
         |key: &Key| current(key).filter(|(_, value)| value.is_some()).map_or(0, |(version, _)| *version);
-    let meets_another = state.conflicts > 0;
-    if meets_another || change.checks.iter().any(|(key, expected)| version(key) != *expected) {
+    let is_forced_conflict = state.conflicts > 0;
+    if is_forced_conflict || change.checks.iter().any(|(key, expected)| version(key) != *expected) {
         let records = change.checks.iter().filter_map(|(key, _)| {
             let (version, value) = current(key)?.clone();
             value.is_some().then(|| Record {
@@ -164,10 +167,10 @@
     state.commits += 1;
     let version = state.version;
     for (key, value) in &change.puts {
-        state.write(place(&change.part, key), Some(value.clone()));
+        state.write(row_key(&change.part, key), Some(value.clone()));
     }
     for key in &change.drops {
-        state.write(place(&change.part, key), None);
+        state.write(row_key(&change.part, key), None);
     }
     Commit::Applied(version)
 }
@@ -178,7 +181,7 @@
         match state.fault {
             RowsFault::Down => Err(TableRows::fail("commit", Fault::NotApplied)),
             RowsFault::LateWrites => {
-                state.late.push(change.clone());
+                state.late_writes.push(change.clone());
                 Err(TableRows::fail("commit", Fault::Unknown))
             }
             RowsFault::LostAnswers => {
@@ -194,9 +197,9 @@
         if state.fault == RowsFault::Down {
             return Err(TableRows::fail("list", Fault::NotApplied));
         }
-        let here =
+        let matching =
             state.rows.iter().filter(|((t, p, _), (_, value))| t == table && p == part && value.is_some());
-        let records = here.map(|((table, _, name), (version, value))| Record {
+        let records = matching.map(|((table, _, name), (version, value))| Record {
             table: table.clone(),
             name: name.clone(),
             version: *version,
@@ -240,7 +243,7 @@
                     }));
                 }
             }
-            net::exec::sleep(LOOK).await;
+            net::exec::sleep(FEED_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain service beside the engines: it echoes, and counts each execution by its body.
+//! A plain HTTP service: it describes each request in its answer and counts executions by method, path and
+//! body.
 
 use crate::loopback;
 use http::{Request, Response};
@@ -13,7 +14,7 @@
 /// The largest request body in bytes.
 const BODY_LIMIT: usize = 64 << 20;
 
-/// A running service.
+/// A running service; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Service {
     executed: Arc<Mutex<BTreeMap<String, u64>>>,
@@ -38,18 +39,18 @@
         Ok(Service { executed, delay, server: Arc::new(server) })
     }
 
-    /// Where it listens.
+    /// The address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Executions by `METHOD path body`.
+    /// The number of executions per `METHOD path body`.
     pub fn executed(&self) -> BTreeMap<String, u64> {
         self.executed.lock().expect("the service's lock").clone()
     }
 
-    /// Makes each later execution take `delay`.
-    pub fn slow_down(&self, delay: Duration) {
+    /// Delays the answers to all later requests by `delay`.
+    pub fn set_delay(&self, delay: Duration) {
         *self.delay.lock().expect("the service's lock") = delay;
     }
 }
@@ -61,8 +62,8 @@
 ) -> Response<Body> {
     let line = format!("{} {}", request.method(), request.uri());
     let body = net::collect(request.into_body(), BODY_LIMIT).await.unwrap_or_default();
-    let entry = format!("{line} {}", String::from_utf8_lossy(&body));
-    *executed.lock().expect("the service's lock").entry(entry).or_insert(0) += 1;
+    let execution = format!("{line} {}", String::from_utf8_lossy(&body));
+    *executed.lock().expect("the service's lock").entry(execution).or_insert(0) += 1;
     let delay = *delay.lock().expect("the service's lock");
     net::exec::sleep(delay).await;
     Response::new(Body::from(format!("{line}: {} bytes", body.len())))
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,12 +1,13 @@
-//! Deterministic answers, so that a caller can tell whether it got exactly its own.
+//! Answers derived from the prompt, so that a caller can check that it got the answer to its own request.
 //!
 //! ```
-//! assert_eq!(standin::answer("hail?", 2), format!("{}{}", standin::token("hail?", 0), standin::token("hail?", 1)));
+//! let tokens = format!("{}{}", standin::token("hail?", 0), standin::token("hail?", 1));
+//! assert_eq!(standin::answer("hail?", 2), tokens);
 //! ```
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of text for one token.
+/// The number of prompt bytes that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
 /// The token at `index` of the answer to `prompt`.
@@ -19,7 +20,7 @@
     (0..count).map(|index| token(prompt, index)).collect()
 }
 
-/// How many tokens a prompt counts for.
+/// The number of tokens that a prompt counts as.
 pub fn prompt_tokens(prompt: &str) -> u64 {
     (prompt.len() / BYTES_PER_TOKEN + 1) as u64
 }
--- a/examples/bench/control.rs
+++ b/examples/bench/control.rs
@@ -23,7 +23,7 @@
 fn plan(routers: usize) -> Plan {
     let mut plan = Plan::small();
     plan.routers = routers;
-    plan.node = router::Limits { threads: 2, ..router::Limits::default() };
+    plan.router_limits = router::Limits { threads: 2, ..router::Limits::default() };
     plan.engines.truncate(2);
     plan
 }
@@ -73,8 +73,8 @@
 
 /// Bytes that a quiet fleet's routers exchange with each other and with the platform, by the proxies between.
 fn traffic(fleet: &Fleet) -> (u64, u64) {
-    let peers = fleet.nodes.iter().map(|node| node.from_peers.passed()).sum();
-    let platform = fleet.nodes.iter().map(|node| node.to_platform.passed()).sum();
+    let peers = fleet.nodes.iter().map(|node| node.from_peers.bytes_passed()).sum();
+    let platform = fleet.nodes.iter().map(|node| node.to_platform.bytes_passed()).sum();
     (peers, platform)
 }
 
--- a/examples/bench/router.rs
+++ b/examples/bench/router.rs
@@ -1,9 +1,9 @@
 //! One router between callers and engines: what it adds to the latency, what it carries, what a stream costs.
 
 use crate::process::{cpu, memory};
-use harness::{Ask, Caller, Fleet, Plan};
+use harness::{Caller, ChatRequest, Fleet, Plan};
 use hdrhistogram::Histogram;
-use standin::Shape;
+use standin::EngineConfig;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -21,12 +21,12 @@
 }
 
 fn plan(pace: Duration) -> Plan {
-    let shape = Shape {
+    let shape = EngineConfig {
         slots: 100_000,
-        pace,
-        prompt_pace: Duration::ZERO,
+        time_per_token: pace,
+        time_per_prompt_token: Duration::ZERO,
         models: vec!["narrator".to_owned(), "hail-flag".to_owned()],
-        ..Shape::default()
+        ..EngineConfig::default()
     };
     let mut plan = Plan::small();
     plan.routers = 1;
@@ -34,8 +34,8 @@
     plan.teams[0].tokens = 1 << 40;
     plan.limits.grant_min = 1 << 34;
     plan.limits.queue = 10_000;
-    plan.node.threads = 4;
-    plan.node.sync_ms = 1_000;
+    plan.router_limits.threads = 4;
+    plan.router_limits.sync_ms = 1_000;
     plan
 }
 
@@ -48,10 +48,10 @@
                 let mut times = vec![];
                 let mut failed = 0;
                 for index in 0..requests / parallel {
-                    let ask = Ask::new("narrator", &format!("Cell {lane} {index}"), tokens);
+                    let ask = ChatRequest::new("narrator", &format!("Cell {lane} {index}"), tokens);
                     let sent = Instant::now();
-                    let answer = caller.ask(&ask).await;
-                    if answer.is_whole(&ask) {
+                    let answer = caller.send_chat(&ask).await;
+                    if answer.is_complete_for(&ask) {
                         times.push(sent.elapsed().as_micros() as u64);
                     } else {
                         failed += 1;
@@ -83,7 +83,8 @@
 
 async fn latency(program: &Path) {
     let fleet = Fleet::start(program, plan(Duration::ZERO)).await;
-    let direct = Caller::new(net::Client::new(), fleet.engines[0].address(), "none".to_owned()).straight();
+    let direct =
+        Caller::new(net::Client::new(), fleet.engines[0].address(), "none".to_owned()).with_run_ids();
     let through = fleet.caller(0);
     let pid = fleet.nodes[0].process.id();
     load(&through, 500, 8, 1).await;
@@ -126,8 +127,8 @@
         let tasks: Vec<_> = (0..count)
             .map(|index| {
                 let caller = fleet.caller(0);
-                let ask = Ask::new("narrator", &format!("Sweep {index}"), 60).streamed();
-                net::exec::spawn(async move { caller.ask(&ask).await.is_whole(&ask) })
+                let ask = ChatRequest::new("narrator", &format!("Sweep {index}"), 60).streamed();
+                net::exec::spawn(async move { caller.send_chat(&ask).await.is_complete_for(&ask) })
             })
             .collect();
         net::exec::sleep(Duration::from_secs(2)).await;
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -3,7 +3,7 @@
 //!
 //! The routers are processes of their own: this program starts itself again with `serve`.
 
-use harness::{Ask, Fleet, Plan, audit};
+use harness::{ChatRequest, Fleet, Plan, audit};
 use std::path::PathBuf;
 use std::time::Duration;
 use tallypaddle::cmd::{Serve, finish};
@@ -42,17 +42,31 @@
 
 async fn serve_some(fleet: &Fleet) -> bool {
     let asks = [
-        (0, 0, Ask::new("narrator", "Describe the storm over Regina from this sweep.", 24).streamed()),
-        (0, 1, Ask::new("narrator", "Summarise the cell west of Saskatoon.", 12)),
-        (1, 2, Ask::new("hail-flag", "Is hail likely on quarter section NE-12?", 4).key("flag-ne-12")),
-        (1, 0, Ask::new("hail-flag", "Is hail likely on quarter section NE-12?", 4).key("flag-ne-12")),
-        (1, 1, Ask::new("narrator", "Brief the adjusters.", 16)),
+        (
+            0,
+            0,
+            ChatRequest::new("narrator", "Describe the storm over Regina from this sweep.", 24).streamed(),
+        ),
+        (0, 1, ChatRequest::new("narrator", "Summarise the cell west of Saskatoon.", 12)),
+        (
+            1,
+            2,
+            ChatRequest::new("hail-flag", "Is hail likely on quarter section NE-12?", 4)
+                .with_key("flag-ne-12"),
+        ),
+        (
+            1,
+            0,
+            ChatRequest::new("hail-flag", "Is hail likely on quarter section NE-12?", 4)
+                .with_key("flag-ne-12"),
+        ),
+        (1, 1, ChatRequest::new("narrator", "Brief the adjusters.", 16)),
     ];
     let mut all = true;
     println!("{:<14} {:<6} {:<10} {:>6}  {:<5}  text", "team", "router", "model", "status", "whole");
     for (team, router, ask) in asks {
-        let answer = fleet.caller_of(team, router).ask(&ask).await;
-        let whole = answer.is_whole(&ask);
+        let answer = fleet.caller_of(team, router).send_chat(&ask).await;
+        let whole = answer.is_complete_for(&ask);
         all &= whole;
         println!(
             "{:<14} {:<6} {:<10} {:>6}  {whole:<5}  {}",
@@ -88,7 +102,7 @@
         node.process.terminate();
     }
     for index in 0..fleet.nodes.len() {
-        while fleet.nodes[index].process.ended().is_none() {
+        while fleet.nodes[index].process.exit_status().is_none() {
             net::exec::sleep(Duration::from_millis(20)).await;
         }
     }
--- a/tests/testsuite/budgets.rs
+++ b/tests/testsuite/budgets.rs
@@ -1,7 +1,7 @@
 //! Budgets under failure: never overspent, and served as long as any router that answers has tokens.
 
 use crate::support::{budgets, consumed, fleet, line, run, stop_all};
-use harness::{Answer, Ask, Fleet, Plan, audit};
+use harness::{Answer, ChatRequest, Fleet, Plan, audit};
 use standin::Mode;
 use std::collections::BTreeMap;
 
@@ -15,8 +15,8 @@
             .iter()
             .map(|index| {
                 let caller = fleet.caller(routers[index % routers.len()]);
-                let ask = Ask::new("narrator", &format!("Cell {index:04}"), tokens);
-                net::exec::spawn(async move { caller.ask(&ask).await })
+                let ask = ChatRequest::new("narrator", &format!("Cell {index:04}"), tokens);
+                net::exec::spawn(async move { caller.send_chat(&ask).await })
             })
             .collect();
         for task in tasks {
@@ -76,10 +76,10 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         let mut answers = load(&fleet, &[0, 1, 2], 24, 4).await;
-        fleet.platform.set(Mode::Down);
+        fleet.platform.set_mode(Mode::Down);
         answers.extend(load(&fleet, &[0, 1, 2], 60, 4).await);
         assert_eq!(served(&answers), 84, "{:?}", counts(&answers));
-        fleet.platform.set(Mode::Up);
+        fleet.platform.set_mode(Mode::Up);
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
         insta::assert_snapshot!(budgets(&fleet));
@@ -91,12 +91,12 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         let mut answers = load(&fleet, &[0], 16, 4).await;
-        fleet.platform.set(Mode::Down);
+        fleet.platform.set_mode(Mode::Down);
         answers.extend(load(&fleet, &[1, 2], 16, 4).await);
         assert_eq!(served(&answers), 32, "{:?}", counts(&answers));
         let metrics = fleet.get(0, "/metrics").await.expect("metrics");
         assert!(!metrics.contains("tallypaddle_lent_tokens_total 0"), "the first router lent tokens");
-        fleet.platform.set(Mode::Up);
+        fleet.platform.set_mode(Mode::Up);
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
     });
@@ -108,7 +108,7 @@
         let mut plan = Plan::small();
         plan.routers = 1;
         let fleet = fleet(plan).await;
-        fleet.platform.set(Mode::Down);
+        fleet.platform.set_mode(Mode::Down);
         let answer = fleet.caller(0).chat("narrator", "Cell", 4).await;
         assert_eq!(line(&answer), "503 budget_unreachable not-run retry-after=5");
         assert_eq!(consumed(&fleet), 0, "not run is true (I4)");
@@ -121,10 +121,10 @@
         let mut fleet = fleet(Plan::small()).await;
         let mut answers = vec![];
         for _ in 0..6 {
-            fleet.platform.set(Mode::LoseAnswers(3));
+            fleet.platform.set_mode(Mode::LoseAnswers(3));
             answers.extend(load(&fleet, &[0, 1, 2], 12, 4).await);
         }
-        fleet.platform.set(Mode::Up);
+        fleet.platform.set_mode(Mode::Up);
         assert_eq!(served(&answers), 72, "{:?}", counts(&answers));
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
@@ -150,9 +150,9 @@
         answers.extend(load(&fleet, &[0, 1, 2], 60, 10).await);
         fleet.cut_platform(2, false);
         fleet.cut_peers(2, false);
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
         fleet
-            .until("every router has the top-up", || async {
+            .wait_until("every router has the top-up", || async {
                 let status = fleet.status(2).await.unwrap_or_default();
                 status["bundle"]["sequence"] == 2
             })
@@ -173,10 +173,10 @@
         plan.teams[0].tokens = 20_000;
         let mut fleet = fleet(plan).await;
         let mut answers = load(&fleet, &[0, 1, 2], 24, 10).await;
-        let long = Ask::new("narrator", "A long sweep", 2_000).streamed();
+        let long = ChatRequest::new("narrator", "A long sweep", 2_000).streamed();
         let caller = fleet.caller(0);
-        let running = net::exec::spawn(async move { caller.ask(&long).await });
-        fleet.until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
+        let running = net::exec::spawn(async move { caller.send_chat(&long).await });
+        fleet.wait_until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
         fleet.nodes[0].process.kill();
         let broken = running.await;
         assert!(!broken.complete, "the caller sees a broken answer, not a short one");
@@ -202,9 +202,9 @@
         plan.teams[0].tokens = 5_000;
         let mut fleet = fleet(plan).await;
         let mut answers = load(&fleet, &[0, 1, 2], 24, 10).await;
-        fleet.nodes[0].process.freeze();
+        fleet.nodes[0].process.pause();
         answers.extend(load(&fleet, &[1, 2], 200, 20).await);
-        fleet.nodes[0].process.thaw();
+        fleet.nodes[0].process.resume();
         answers.extend(load(&fleet, &[0, 1, 2], 150, 30).await);
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
@@ -218,21 +218,21 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         let mut answers = load(&fleet, &[0, 1, 2], 24, 4).await;
-        fleet.platform.set(Mode::Down);
-        let ask = Ask::new("narrator", "A long sweep", 600).key("sweep").streamed();
+        fleet.platform.set_mode(Mode::Down);
+        let ask = ChatRequest::new("narrator", "A long sweep", 600).with_key("sweep").streamed();
         let caller = fleet.caller(0);
         let first = net::exec::spawn({
             let ask = ask.clone();
-            async move { caller.ask(&ask).await }
+            async move { caller.send_chat(&ask).await }
         });
-        fleet.until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
+        fleet.wait_until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
         fleet.nodes[0].process.kill();
         assert!(!first.await.complete);
-        let again = fleet.caller(1).ask(&ask).await;
-        assert!(again.is_whole(&ask), "{again:?}");
-        let joined = fleet.caller(2).ask(&ask).await;
-        assert!(joined.is_whole(&ask), "{joined:?}");
-        fleet.platform.set(Mode::Up);
+        let again = fleet.caller(1).send_chat(&ask).await;
+        assert!(again.is_complete_for(&ask), "{again:?}");
+        let joined = fleet.caller(2).send_chat(&ask).await;
+        assert!(joined.is_complete_for(&ask), "{joined:?}");
+        fleet.platform.set_mode(Mode::Up);
         for index in 1..3 {
             fleet.nodes[index].process.terminate();
             crate::support::wait_ended(&mut fleet, index).await;
@@ -259,9 +259,9 @@
         plan.limits.expose_refusals_s = 5;
         let mut fleet = fleet(plan).await;
         let mut answers = load(&fleet, &[0, 1, 2], 240, 20).await;
-        fleet.until("grants have grown with demand", || async { outstanding(&fleet) > 30_000 }).await;
+        fleet.wait_until("grants have grown with demand", || async { outstanding(&fleet) > 30_000 }).await;
         fleet
-            .until("a keeper knows its task", || async {
+            .wait_until("a keeper knows its task", || async {
                 let kept = fleet.platform.rows("account/");
                 kept.iter().any(|(key, row)| key.contains("vm-1#") && row.value.contains(r#""keeper":"vm-"#))
             })
@@ -275,8 +275,8 @@
         fleet.nodes[0].process.kill();
         let (before, exposed, _) = held_by(&fleet);
         assert!(before > 3 * exposed, "there is something to give back: {before}, exposed {exposed}");
-        fleet.unlist(0);
-        fleet.until("the account is closed", || async { held_by(&fleet).2 }).await;
+        fleet.remove_from_vms(0);
+        fleet.wait_until("the account is closed", || async { held_by(&fleet).2 }).await;
         let (after, _, _) = held_by(&fleet);
         assert!(after <= exposed, "only what it may have used stays held: {after}, exposed {exposed}");
         answers.extend(load(&fleet, &[1, 2], 40, 20).await);
@@ -298,10 +298,10 @@
         plan.limits.grant_min = 500;
         let mut fleet = fleet(plan).await;
         let mut answers = load(&fleet, &[0, 1, 2], 60, 20).await;
-        fleet.nodes[0].process.freeze();
-        fleet.unlist(0);
+        fleet.nodes[0].process.pause();
+        fleet.remove_from_vms(0);
         fleet
-            .until("its account is closed by mistake", || async {
+            .wait_until("its account is closed by mistake", || async {
                 fleet
                     .platform
                     .rows("account/vm-1#")
@@ -310,7 +310,7 @@
             })
             .await;
         answers.extend(load(&fleet, &[1, 2], 200, 30).await);
-        fleet.nodes[0].process.thaw();
+        fleet.nodes[0].process.resume();
         answers.extend(load(&fleet, &[0], 40, 30).await);
         answers.extend(load(&fleet, &[1, 2], 300, 40).await);
         stop_all(&mut fleet).await;
@@ -333,7 +333,7 @@
             // Demand makes each router hold far more than it exposes.
             let mut answers = load(&fleet, &[0, 1, 2], 240, 20).await;
             fleet
-                .until("its grant has grown", || async {
+                .wait_until("its grant has grown", || async {
                     let status = fleet.status(0).await.unwrap_or_default();
                     status["budgets"][BUDGET]["available"].as_u64() > Some(20_000)
                 })
--- a/tests/testsuite/bundles.rs
+++ b/tests/testsuite/bundles.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{fleet, line, program, run};
 use bundle::{Bundle, Secret};
-use harness::{Ask, Fleet, Plan};
+use harness::{ChatRequest, Fleet, Plan};
 use roll::{Accepted, HEAD, Package, object_key};
 use std::fmt::Write;
 use store::{Services, Table, Tx};
@@ -20,7 +20,7 @@
 
 async fn all_reach(fleet: &Fleet, wanted: u64) {
     for index in 0..fleet.nodes.len() {
-        fleet.until("the bundle is in force", || async { sequence(fleet, index).await == wanted }).await;
+        fleet.wait_until("the bundle is in force", || async { sequence(fleet, index).await == wanted }).await;
     }
 }
 
@@ -115,7 +115,7 @@
         let mut fleet = fleet(Plan::small()).await;
         for round in 0..5 {
             let bundle = changed(&fleet, 400 + round);
-            fleet.platform.set(standin::Mode::LoseAnswers(1));
+            fleet.platform.set_mode(standin::Mode::LoseAnswers(1));
             // Storing a section may meet the lost answer; asking again is what an operator does.
             let mut accepted = fleet.roll(&bundle).await;
             if matches!(accepted, Err(roll::Error::Platform(_))) {
@@ -132,7 +132,7 @@
 fn what_is_not_rightly_signed_is_never_in_force() {
     run(async {
         let mut plan = Plan::small();
-        plan.needed = 2;
+        plan.needed_signatures = 2;
         let fleet = fleet(plan).await;
         let bundle = changed(&fleet, 999);
         let sign = |package: &mut Package, secrets: &[&Secret]| {
@@ -184,7 +184,7 @@
         for (count, (name, package)) in cases.iter().enumerate() {
             force(&fleet, 2, package).await;
             fleet
-                .until(name, || async {
+                .wait_until(name, || async {
                     let metrics = fleet.get(0, "/metrics").await.unwrap_or_default();
                     let rejected = metrics
                         .lines()
@@ -224,7 +224,7 @@
         // The platform answers with an old head, as a lagging read would.
         services.commit(&Tx::default().put(HEAD, &old)).await.expect("an old head");
         fleet.restart(0);
-        fleet.until("it is back", || async { sequence(&fleet, 0).await == 2 }).await;
+        fleet.wait_until("it is back", || async { sequence(&fleet, 0).await == 2 }).await;
         for index in 0..3 {
             assert_eq!(sequence(&fleet, index).await, 2);
         }
@@ -235,20 +235,20 @@
 fn a_router_that_boots_without_the_platform_gets_the_bundle_from_its_peers() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        fleet.platform.set(standin::Mode::Down);
+        fleet.platform.set_mode(standin::Mode::Down);
         fleet.add_node("vm-4", "dc-1").await;
         all_reach(&fleet, 1).await;
-        fleet.until("it is ready", || async { fleet.get(3, "/ready").await.is_some() }).await;
+        fleet.wait_until("it is ready", || async { fleet.get(3, "/ready").await.is_some() }).await;
     });
 }
 
 #[test]
 fn a_router_without_any_bundle_is_not_ready_and_says_why() {
     run(async {
-        let mut fleet = Fleet::bare(program(), Plan::small()).await;
-        fleet.platform.set(standin::Mode::Down);
+        let mut fleet = Fleet::start_without_routers(program(), Plan::small()).await;
+        fleet.platform.set_mode(standin::Mode::Down);
         fleet.add_node("vm-1", "dc-0").await;
-        fleet.until("it lives", || async { fleet.get(0, "/live").await.is_some() }).await;
+        fleet.wait_until("it lives", || async { fleet.get(0, "/live").await.is_some() }).await;
         let request = http::Request::get(format!("http://{}/ready", fleet.nodes[0].operators))
             .body(net::Body::empty())
             .expect("a request");
@@ -273,7 +273,7 @@
         let call = |client: peer::LinkClient, context| async move { client.standing(context).await };
         assert!(peers.call("standing", address, call).await.is_err());
         fleet
-            .until("it is logged", || async {
+            .wait_until("it is logged", || async {
                 fleet.nodes[0].process.log().contains("the peer does not know a fleet key")
             })
             .await;
@@ -284,13 +284,13 @@
 fn requests_in_progress_run_wholly_under_their_bundle() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        let long = Ask::new("narrator", "A long sweep", 300).streamed();
+        let long = ChatRequest::new("narrator", "A long sweep", 300).streamed();
         let caller = fleet.caller(0);
         let running = net::exec::spawn({
             let long = long.clone();
-            async move { caller.ask(&long).await }
+            async move { caller.send_chat(&long).await }
         });
-        fleet.until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
+        fleet.wait_until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
         let mut bundle = fleet.bundle.clone();
         bundle.models.remove("narrator");
         bundle
@@ -299,6 +299,6 @@
             .for_each(|upstream| upstream.models.retain(|model| model != "narrator"));
         fleet.roll(&bundle).await.expect("a bundle without the model");
         all_reach(&fleet, 2).await;
-        assert!(running.await.is_whole(&long));
+        assert!(running.await.is_complete_for(&long));
     });
 }
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -1,7 +1,7 @@
 //! What callers meet: the usual protocol, clear refusals, whole answers.
 
 use crate::support::{budgets, executions, fleet, line, open_runs, run, stop_all};
-use harness::{Ask, Plan};
+use harness::{ChatRequest, Plan};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 use std::fmt::Write;
@@ -13,11 +13,11 @@
         let mut text = String::new();
         for router in 0..3 {
             for (model, stream) in [("narrator", false), ("narrator", true), ("hail-flag", true)] {
-                let mut ask = Ask::new(model, "Describe the storm.", 7);
+                let mut ask = ChatRequest::new(model, "Describe the storm.", 7);
                 ask.stream = stream;
-                let answer = fleet.caller(router).ask(&ask).await;
-                assert!(answer.is_whole(&ask), "{answer:?}");
-                assert!(!answer.request.is_empty(), "every answer names its request");
+                let answer = fleet.caller(router).send_chat(&ask).await;
+                assert!(answer.is_complete_for(&ask), "{answer:?}");
+                assert!(!answer.request_id.is_empty(), "every answer names its request");
                 let _ = writeln!(text, "{model} stream={stream}: {}", line(&answer));
             }
         }
@@ -80,8 +80,8 @@
     run(async {
         let mut plan = Plan::small();
         plan.routers = 1;
-        plan.node.head_ms = 200;
-        plan.node.body_ms = 200;
+        plan.router_limits.head_ms = 200;
+        plan.router_limits.body_ms = 200;
         let fleet = fleet(plan).await;
         let mut stream = TcpStream::connect(fleet.nodes[0].callers).await.expect("a connection");
         stream.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n").await.expect("half a head");
@@ -116,7 +116,7 @@
         let mut some = [0; 512];
         stream.read_exact(&mut some).await.expect("the beginning of an answer");
         drop(stream);
-        fleet.until("the engine's run is cancelled", || async { open_runs(&fleet) == 0 }).await;
+        fleet.wait_until("the engine's run is cancelled", || async { open_runs(&fleet) == 0 }).await;
         assert_eq!(executions(&fleet, "long"), 1);
         let used: u64 = crate::support::consumed(&fleet);
         stop_all(&mut fleet).await;
@@ -148,9 +148,9 @@
     run(async {
         let fleet = fleet(Plan::small()).await;
         let answer = fleet.caller(1).chat("narrator", "Describe the storm.", 3).await;
-        let path = format!("/v1/requests/{}", answer.request);
+        let path = format!("/v1/requests/{}", answer.request_id);
         fleet
-            .until("the request has ended", || async {
+            .wait_until("the request has ended", || async {
                 fleet.get(1, &path).await.is_some_and(|record| record.contains("complete"))
             })
             .await;
--- a/tests/testsuite/command_line.rs
+++ b/tests/testsuite/command_line.rs
@@ -81,7 +81,7 @@
     run(async {
         let folder = Folder::new();
         let mut plan = Plan::small();
-        plan.needed = 2;
+        plan.needed_signatures = 2;
         let fleet = fleet(plan).await;
         let mut bundle = fleet.bundle.clone();
         bundle.limits.queue = 77;
@@ -174,7 +174,7 @@
         }
         for index in 0..3 {
             fleet
-                .until("the rollback is in force", || async {
+                .wait_until("the rollback is in force", || async {
                     fleet.status(index).await.unwrap_or_default()["bundle"]["sequence"] == 3
                 })
                 .await;
--- a/tests/testsuite/once.rs
+++ b/tests/testsuite/once.rs
@@ -1,7 +1,7 @@
 //! Requests that must not be repeated run at most once, and retries find their one answer.
 
 use crate::support::{executions, fleet, line, run, stop_all};
-use harness::{Ask, Plan};
+use harness::{ChatRequest, Plan};
 use standin::Mode;
 use std::fmt::Write;
 
@@ -10,17 +10,17 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         for round in 0..12 {
-            let ask =
-                Ask::new("hail-flag", &format!("Hail on quarter {round}?"), 6).key(&format!("flag-{round}"));
+            let ask = ChatRequest::new("hail-flag", &format!("Hail on quarter {round}?"), 6)
+                .with_key(&format!("flag-{round}"));
             let tasks: Vec<_> = (0..6)
                 .map(|index| {
                     let (caller, ask) = (fleet.caller(index % 3), ask.clone());
-                    net::exec::spawn(async move { caller.ask(&ask).await })
+                    net::exec::spawn(async move { caller.send_chat(&ask).await })
                 })
                 .collect();
             for task in tasks {
                 let answer = task.await;
-                assert!(answer.is_whole(&ask), "{answer:?}");
+                assert!(answer.is_complete_for(&ask), "{answer:?}");
             }
             assert_eq!(executions(&fleet, &ask.prompt), 1, "it ran once (I3)");
         }
@@ -34,18 +34,18 @@
 fn a_retry_after_its_router_died_learns_unknown_and_runs_nothing() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        let ask = Ask::new("hail-flag", "Hail on NE-12?", 2_000).key("flag").streamed();
+        let ask = ChatRequest::new("hail-flag", "Hail on NE-12?", 2_000).with_key("flag").streamed();
         let caller = fleet.caller(0);
         let first = net::exec::spawn({
             let ask = ask.clone();
-            async move { caller.ask(&ask).await }
+            async move { caller.send_chat(&ask).await }
         });
-        fleet.until("it runs", || async { executions(&fleet, &ask.prompt) == 1 }).await;
+        fleet.wait_until("it runs", || async { executions(&fleet, &ask.prompt) == 1 }).await;
         fleet.nodes[0].process.kill();
         assert!(!first.await.complete);
         let mut text = String::new();
         for router in [1, 2, 1] {
-            let answer = fleet.caller(router).ask(&ask).await;
+            let answer = fleet.caller(router).send_chat(&ask).await;
             let _ = writeln!(text, "{}", line(&answer));
         }
         assert_eq!(executions(&fleet, &ask.prompt), 1, "it ran once (I3)");
@@ -57,17 +57,17 @@
 fn a_finished_request_is_answered_again_after_its_router_died() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        let ask = Ask::new("hail-flag", "Hail on NE-12?", 5).key("flag");
-        assert!(fleet.caller(0).ask(&ask).await.is_whole(&ask));
+        let ask = ChatRequest::new("hail-flag", "Hail on NE-12?", 5).with_key("flag");
+        assert!(fleet.caller(0).send_chat(&ask).await.is_complete_for(&ask));
         fleet
-            .until("its answer is recorded", || async {
+            .wait_until("its answer is recorded", || async {
                 fleet.platform.rows("claim/").values().any(|row| row.value.contains("Done"))
             })
             .await;
         fleet.nodes[0].process.kill();
         for router in [1, 2] {
-            let answer = fleet.caller(router).ask(&ask).await;
-            assert!(answer.is_whole(&ask), "{answer:?}");
+            let answer = fleet.caller(router).send_chat(&ask).await;
+            assert!(answer.is_complete_for(&ask), "{answer:?}");
         }
         assert_eq!(executions(&fleet, &ask.prompt), 1, "it ran once (I3)");
     });
@@ -78,13 +78,14 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         for round in 0..10 {
-            fleet.platform.set(Mode::LoseAnswers(2));
-            let ask = Ask::new("hail-flag", &format!("Quarter {round}"), 3).key(&format!("flag-{round}"));
-            let answer = fleet.caller(round % 3).ask(&ask).await;
-            assert!(answer.is_whole(&ask), "{answer:?}");
+            fleet.platform.set_mode(Mode::LoseAnswers(2));
+            let ask = ChatRequest::new("hail-flag", &format!("Quarter {round}"), 3)
+                .with_key(&format!("flag-{round}"));
+            let answer = fleet.caller(round % 3).send_chat(&ask).await;
+            assert!(answer.is_complete_for(&ask), "{answer:?}");
             assert_eq!(executions(&fleet, &ask.prompt), 1);
         }
-        fleet.platform.set(Mode::Up);
+        fleet.platform.set_mode(Mode::Up);
         stop_all(&mut fleet).await;
     });
 }
@@ -93,15 +94,15 @@
 fn without_the_platform_a_claim_is_refused_as_unknown_and_can_be_asked_again() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        fleet.platform.set(Mode::Down);
-        let ask = Ask::new("hail-flag", "Hail on NE-12?", 5).key("flag");
-        let answer = fleet.caller(0).ask(&ask).await;
+        fleet.platform.set_mode(Mode::Down);
+        let ask = ChatRequest::new("hail-flag", "Hail on NE-12?", 5).with_key("flag");
+        let answer = fleet.caller(0).send_chat(&ask).await;
         // An earlier attempt under this key may have run elsewhere, so "not run" would not be certain (I4).
         assert_eq!(line(&answer), "503 claim_unavailable unknown retry-after=2");
         assert_eq!(executions(&fleet, &ask.prompt), 0);
-        fleet.platform.set(Mode::Up);
-        let answer = fleet.caller(0).ask(&ask).await;
-        assert!(answer.is_whole(&ask), "{answer:?}");
+        fleet.platform.set_mode(Mode::Up);
+        let answer = fleet.caller(0).send_chat(&ask).await;
+        assert!(answer.is_complete_for(&ask), "{answer:?}");
         stop_all(&mut fleet).await;
         assert_eq!(executions(&fleet, &ask.prompt), 1);
     });
@@ -111,27 +112,27 @@
 fn a_frozen_claimant_that_wakes_does_not_run_it_a_second_time() {
     run(async {
         let fleet = fleet(Plan::small()).await;
-        let ask = Ask::new("hail-flag", "Hail on NE-12?", 400).key("flag");
+        let ask = ChatRequest::new("hail-flag", "Hail on NE-12?", 400).with_key("flag");
         let caller = fleet.caller(0);
         let first = net::exec::spawn({
             let ask = ask.clone();
-            async move { caller.ask(&ask).await }
+            async move { caller.send_chat(&ask).await }
         });
-        fleet.until("it is claimed", || async { !fleet.platform.rows("claim/").is_empty() }).await;
-        fleet.nodes[0].process.freeze();
+        fleet.wait_until("it is claimed", || async { !fleet.platform.rows("claim/").is_empty() }).await;
+        fleet.nodes[0].process.pause();
         for router in [1, 2] {
-            let answer = fleet.caller(router).ask(&ask).await;
-            assert!(answer.status == 409 || answer.is_whole(&ask), "{answer:?}");
+            let answer = fleet.caller(router).send_chat(&ask).await;
+            assert!(answer.status == 409 || answer.is_complete_for(&ask), "{answer:?}");
         }
         assert!(executions(&fleet, &ask.prompt) <= 1);
-        fleet.nodes[0].process.thaw();
+        fleet.nodes[0].process.resume();
         let mut answer = first.await;
         if answer.execution == "not-run" {
             // It was frozen before it had its tokens, so its time to wait for them had passed.
             assert_eq!(executions(&fleet, &ask.prompt), 0, "not run is true (I4)");
-            answer = fleet.caller(0).ask(&ask).await;
+            answer = fleet.caller(0).send_chat(&ask).await;
         }
-        assert!(answer.is_whole(&ask), "{answer:?}");
+        assert!(answer.is_complete_for(&ask), "{answer:?}");
         assert_eq!(executions(&fleet, &ask.prompt), 1, "it ran once (I3)");
     });
 }
@@ -140,9 +141,9 @@
 fn a_key_that_was_used_for_another_request_is_refused() {
     run(async {
         let fleet = fleet(Plan::small()).await;
-        let first = Ask::new("narrator", "One", 3).key("k");
-        assert!(fleet.caller(0).ask(&first).await.is_whole(&first));
-        let answer = fleet.caller(0).ask(&Ask::new("narrator", "Two", 3).key("k")).await;
+        let first = ChatRequest::new("narrator", "One", 3).with_key("k");
+        assert!(fleet.caller(0).send_chat(&first).await.is_complete_for(&first));
+        let answer = fleet.caller(0).send_chat(&ChatRequest::new("narrator", "Two", 3).with_key("k")).await;
         assert_eq!(line(&answer), "422 idempotency_mismatch not-run");
     });
 }
@@ -151,18 +152,18 @@
 fn a_repeatable_request_that_ran_at_two_routers_is_charged_once() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        let ask = Ask::new("narrator", "Describe the storm.", 300).key("k");
+        let ask = ChatRequest::new("narrator", "Describe the storm.", 300).with_key("k");
         for index in 0..3 {
             fleet.cut_peers(index, true);
         }
         let tasks: Vec<_> = (0..2)
             .map(|router| {
                 let (caller, ask) = (fleet.caller(router), ask.clone());
-                net::exec::spawn(async move { caller.ask(&ask).await })
+                net::exec::spawn(async move { caller.send_chat(&ask).await })
             })
             .collect();
         for task in tasks {
-            assert!(task.await.is_whole(&ask));
+            assert!(task.await.is_complete_for(&ask));
         }
         for index in 0..3 {
             fleet.cut_peers(index, false);
@@ -198,11 +199,11 @@
 fn a_retry_during_an_outage_is_not_told_that_it_never_ran() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        let ask = Ask::new("hail-flag", "Hail on NE-12?", 5).key("flag");
-        assert!(fleet.caller(0).ask(&ask).await.is_whole(&ask));
+        let ask = ChatRequest::new("hail-flag", "Hail on NE-12?", 5).with_key("flag");
+        assert!(fleet.caller(0).send_chat(&ask).await.is_complete_for(&ask));
         fleet.nodes[0].process.kill();
-        fleet.platform.set(Mode::Down);
-        let answer = fleet.caller(1).ask(&ask).await;
+        fleet.platform.set_mode(Mode::Down);
+        let answer = fleet.caller(1).send_chat(&ask).await;
         assert_eq!(answer.execution, "unknown", "it ran at the router that died: {answer:?}");
         assert_eq!(executions(&fleet, &ask.prompt), 1);
     });
--- a/tests/testsuite/stops.rs
+++ b/tests/testsuite/stops.rs
@@ -1,37 +1,39 @@
 //! Planned stops cut off nothing and give unused tokens back.
 
 use crate::support::{fleet, open_runs, run, stop_all, wait_ended};
-use harness::{Ask, Plan};
+use harness::{ChatRequest, Plan};
 
 #[test]
 fn a_planned_stop_finishes_open_streams_and_refuses_new_work_as_not_run() {
     run(async {
         let mut plan = Plan::small();
-        plan.node.stop_delay_ms = 200;
+        plan.router_limits.stop_delay_ms = 200;
         let mut fleet = fleet(plan).await;
-        let long = Ask::new("narrator", "A long sweep", 700).streamed();
+        let long = ChatRequest::new("narrator", "A long sweep", 700).streamed();
         let caller = fleet.caller(0);
         let running = net::exec::spawn({
             let long = long.clone();
-            async move { caller.ask(&long).await }
+            async move { caller.send_chat(&long).await }
         });
-        fleet.until("the run is open", || async { open_runs(&fleet) == 1 }).await;
+        fleet.wait_until("the run is open", || async { open_runs(&fleet) == 1 }).await;
         fleet.nodes[0].process.terminate();
-        fleet.until("it is not ready at once", || async { fleet.get(0, "/ready").await.is_none() }).await;
+        fleet
+            .wait_until("it is not ready at once", || async { fleet.get(0, "/ready").await.is_none() })
+            .await;
         let path = "/v1/status";
         fleet
-            .until("it drains", || async {
+            .wait_until("it drains", || async {
                 fleet.get(1, path).await.is_some_and(|status| status.contains(r#""gone":["vm-1"]"#))
             })
             .await;
         let refused = fleet.caller(0).chat("narrator", "new work", 2).await;
         assert!(refused.status == 0 || refused.execution == "not-run", "{refused:?}");
         let answer = running.await;
-        assert!(answer.is_whole(&long), "the open stream is finished: {answer:?}");
+        assert!(answer.is_complete_for(&long), "the open stream is finished: {answer:?}");
         wait_ended(&mut fleet, 0).await;
         for index in 1..3 {
-            let ask = Ask::new("narrator", "Go on", 3);
-            assert!(fleet.caller(index).ask(&ask).await.is_whole(&ask));
+            let ask = ChatRequest::new("narrator", "Go on", 3);
+            assert!(fleet.caller(index).send_chat(&ask).await.is_complete_for(&ask));
         }
         stop_all_but_first(&mut fleet).await;
         let audit = &harness::audit(&fleet)["storm-desk/main"];
@@ -52,20 +54,20 @@
 fn a_stop_during_a_platform_outage_waits_until_the_tokens_are_settled() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        let ask = Ask::new("narrator", "Describe the storm.", 3);
-        assert!(fleet.caller(0).ask(&ask).await.is_whole(&ask));
-        fleet.platform.set(standin::Mode::Down);
-        assert!(fleet.caller(0).ask(&ask).await.is_whole(&ask));
+        let ask = ChatRequest::new("narrator", "Describe the storm.", 3);
+        assert!(fleet.caller(0).send_chat(&ask).await.is_complete_for(&ask));
+        fleet.platform.set_mode(standin::Mode::Down);
+        assert!(fleet.caller(0).send_chat(&ask).await.is_complete_for(&ask));
         for node in &fleet.nodes {
             node.process.terminate();
         }
         fleet
-            .until("the settlement is tried in vain", || async {
+            .wait_until("the settlement is tried in vain", || async {
                 fleet.nodes[0].process.log().contains("settle: batch")
             })
             .await;
-        assert!(fleet.nodes[0].process.ended().is_none());
-        fleet.platform.set(standin::Mode::Up);
+        assert!(fleet.nodes[0].process.exit_status().is_none());
+        fleet.platform.set_mode(standin::Mode::Up);
         stop_all(&mut fleet).await;
         let audit = &harness::audit(&fleet)["storm-desk/main"];
         assert_eq!((audit.spent, audit.outstanding), (16, 0), "{audit:?}");
@@ -79,18 +81,18 @@
         for index in 0..3 {
             fleet.nodes[index].process.terminate();
             for round in 0..9 {
-                let ask = Ask::new("narrator", &format!("Cell {index} {round}"), 4);
-                let mut answer = fleet.caller(round % 3).ask(&ask).await;
+                let ask = ChatRequest::new("narrator", &format!("Cell {index} {round}"), 4);
+                let mut answer = fleet.caller(round % 3).send_chat(&ask).await;
                 if answer.status != 200 {
                     // What a caller does on "not run" or a refused connection: it asks another router.
                     assert!(answer.status == 0 || answer.execution == "not-run", "{answer:?}");
-                    answer = fleet.caller((index + 1) % 3).ask(&ask).await;
+                    answer = fleet.caller((index + 1) % 3).send_chat(&ask).await;
                 }
-                assert!(answer.is_whole(&ask), "{answer:?}");
+                assert!(answer.is_complete_for(&ask), "{answer:?}");
             }
             wait_ended(&mut fleet, index).await;
             fleet.restart(index);
-            fleet.ready().await;
+            fleet.wait_until_ready().await;
         }
         stop_all(&mut fleet).await;
         let audit = &harness::audit(&fleet)["storm-desk/main"];
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -49,7 +49,7 @@
 pub async fn wait_ended(fleet: &mut Fleet, index: usize) {
     let patience = std::time::Instant::now() + std::time::Duration::from_secs(30);
     loop {
-        if let Some(status) = fleet.nodes[index].process.ended() {
+        if let Some(status) = fleet.nodes[index].process.exit_status() {
             assert!(status.success(), "{status}: {}", fleet.nodes[index].process.log());
             return;
         }
@@ -78,17 +78,17 @@
     fleet
         .engines
         .iter()
-        .flat_map(|engine| engine.ledger().usage.into_values())
+        .flat_map(|engine| engine.record().usage.into_values())
         .map(|usage| usage.total())
         .sum()
 }
 
 /// Runs that neither ended nor were cancelled.
 pub fn open_runs(fleet: &Fleet) -> usize {
-    fleet.engines.iter().map(|engine| engine.ledger().open.len()).sum()
+    fleet.engines.iter().map(|engine| engine.record().open_runs.len()).sum()
 }
 
 /// How often a prompt was run, by the engines' own records.
 pub fn executions(fleet: &Fleet, prompt: &str) -> u64 {
-    fleet.engines.iter().filter_map(|engine| engine.ledger().prompts.get(prompt).copied()).sum()
+    fleet.engines.iter().filter_map(|engine| engine.record().executions.get(prompt).copied()).sum()
 }
--- a/tests/testsuite/upstreams.rs
+++ b/tests/testsuite/upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams that fail: no short answers, no orphaned work, no new work for those that leave.
 
 use crate::support::{budgets, executions, fleet, line, open_runs, run, stop_all};
-use harness::{Ask, Plan};
+use harness::{ChatRequest, Plan};
 use standin::{Fault, Rule};
 use std::fmt::Write;
 
@@ -10,11 +10,11 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         for engine in &fleet.engines {
-            engine.set(Fault::Break(3));
+            engine.set_fault(Fault::Break(3));
         }
-        let ask = Ask::new("narrator", "Describe the storm.", 20).streamed();
-        let answer = fleet.caller(0).ask(&ask).await;
-        assert!(answer.is_whole(&ask), "{answer:?}");
+        let ask = ChatRequest::new("narrator", "Describe the storm.", 20).streamed();
+        let answer = fleet.caller(0).send_chat(&ask).await;
+        assert!(answer.is_complete_for(&ask), "{answer:?}");
         assert_eq!(executions(&fleet, &ask.prompt), 1);
         stop_all(&mut fleet).await;
         insta::assert_snapshot!(format!("{}\n{}", line(&answer), budgets(&fleet)));
@@ -26,10 +26,10 @@
     run(async {
         let mut fleet = fleet(Plan::small()).await;
         for engine in &fleet.engines {
-            engine.set(Fault::BreakForGood(3));
+            engine.set_fault(Fault::BreakPermanently(3));
         }
-        let ask = Ask::new("narrator", "Describe the storm.", 500).streamed();
-        let answer = fleet.caller(0).ask(&ask).await;
+        let ask = ChatRequest::new("narrator", "Describe the storm.", 500).streamed();
+        let answer = fleet.caller(0).send_chat(&ask).await;
         assert!(!answer.complete, "never a silently short answer: {answer:?}");
         let text = format!("{} {} {}", answer.status, answer.code, answer.execution);
         assert_eq!(text, "200 upstream_broke ran");
@@ -44,22 +44,22 @@
 fn a_refusing_engine_is_passed_over() {
     run(async {
         let mut fleet = fleet(Plan::small()).await;
-        fleet.engines[0].set(Fault::Refuse);
-        fleet.engines[1].set(Fault::Refuse);
+        fleet.engines[0].set_fault(Fault::Refuse);
+        fleet.engines[1].set_fault(Fault::Refuse);
         let mut text = String::new();
         // Each request earns a tenth of a retry, so the first ones may meet the refusal.
         for index in 0..60 {
-            let ask = Ask::new("narrator", &format!("Cell {index}"), 2);
-            let answer = fleet.caller(0).ask(&ask).await;
-            let ok =
-                answer.is_whole(&ask) || (answer.code == "upstream_failed" && answer.execution == "not-run");
+            let ask = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
+            let answer = fleet.caller(0).send_chat(&ask).await;
+            let ok = answer.is_complete_for(&ask)
+                || (answer.code == "upstream_failed" && answer.execution == "not-run");
             assert!(ok, "{answer:?}");
             if answer.execution == "not-run" {
                 assert_eq!(executions(&fleet, &ask.prompt), 0, "not run is true (I4)");
             }
         }
-        let ask = Ask::new("narrator", "After both were ejected or passed over", 2);
-        let answer = fleet.caller(0).ask(&ask).await;
+        let ask = ChatRequest::new("narrator", "After both were ejected or passed over", 2);
+        let answer = fleet.caller(0).send_chat(&ask).await;
         let _ = writeln!(text, "{}", line(&answer));
         stop_all(&mut fleet).await;
         insta::assert_snapshot!(text);
@@ -71,16 +71,16 @@
     run(async {
         let mut plan = Plan::small();
         plan.routers = 1;
-        plan.node.stall_ms = 200;
+        plan.router_limits.stall_ms = 200;
         plan.limits.retry_share = 1.0;
         let mut fleet = fleet(plan).await;
         for engine in &fleet.engines[..2] {
-            engine.set(Fault::Stall(0));
+            engine.set_fault(Fault::Stall(0));
         }
         for index in 0..6 {
-            let ask = Ask::new("narrator", &format!("Sweep {index}"), 5).streamed();
-            let answer = fleet.caller(0).ask(&ask).await;
-            assert!(answer.is_whole(&ask), "{answer:?}");
+            let ask = ChatRequest::new("narrator", &format!("Sweep {index}"), 5).streamed();
+            let answer = fleet.caller(0).send_chat(&ask).await;
+            assert!(answer.is_complete_for(&ask), "{answer:?}");
         }
         assert_eq!(open_runs(&fleet), 0, "no orphaned work");
         stop_all(&mut fleet).await;
@@ -97,24 +97,24 @@
         plan.routers = 1;
         plan.engines.truncate(1);
         plan.engine_proxies = true;
-        plan.node.stall_ms = 300;
-        plan.node.call_ms = 200;
+        plan.router_limits.stall_ms = 300;
+        plan.router_limits.call_ms = 200;
         let mut fleet = fleet(plan).await;
-        let ask = Ask::new("hail-flag", "Is there hail?", 50).streamed();
+        let ask = ChatRequest::new("hail-flag", "Is there hail?", 50).streamed();
         let caller = fleet.caller(0);
         let asking = net::exec::spawn({
             let ask = ask.clone();
-            async move { caller.ask(&ask).await }
+            async move { caller.send_chat(&ask).await }
         });
-        fleet.until("the engine runs it", || async { executions(&fleet, &ask.prompt) == 1 }).await;
-        fleet.engine_proxies[0].set(Rule::Cut);
+        fleet.wait_until("the engine runs it", || async { executions(&fleet, &ask.prompt) == 1 }).await;
+        fleet.engine_proxies[0].set_rule(Rule::Cut);
         let answer = asking.await;
         assert!(!answer.complete, "{answer:?}");
         let held = fleet.status(0).await.expect("a status")["budgets"]["storm-desk/main"]["unknown"].as_u64();
         assert!(held.is_some_and(|held| held > 0), "{held:?}");
-        fleet.engine_proxies[0].set(Rule::Pass);
+        fleet.engine_proxies[0].set_rule(Rule::Pass);
         fleet
-            .until("the engine tells what the run consumed", || async {
+            .wait_until("the engine tells what the run consumed", || async {
                 let status = fleet.status(0).await.unwrap_or_default();
                 status["budgets"]["storm-desk/main"]["unknown"].as_u64() == Some(0)
             })
@@ -130,35 +130,35 @@
     run(async {
         for by_list in [true, false] {
             let mut fleet = fleet(Plan::small()).await;
-            let long = Ask::new("narrator", "A long sweep", 300).streamed();
+            let long = ChatRequest::new("narrator", "A long sweep", 300).streamed();
             let mut running = vec![];
             for router in 0..3 {
                 let (caller, long) = (fleet.caller(router), long.clone());
-                running.push(net::exec::spawn(async move { caller.ask(&long).await }));
+                running.push(net::exec::spawn(async move { caller.send_chat(&long).await }));
             }
-            fleet.until("three runs are open", || async { open_runs(&fleet) == 3 }).await;
+            fleet.wait_until("three runs are open", || async { open_runs(&fleet) == 3 }).await;
             if by_list {
-                fleet.list(&["engine-1"]);
+                fleet.publish_vms(&["engine-1"]);
             } else {
-                fleet.engines[0].leave(true);
+                fleet.engines[0].set_leaving(true);
             }
             for index in 0..3 {
-                fleet.until("each router knows that it leaves", || knows(&fleet, index, true)).await;
+                fleet.wait_until("each router knows that it leaves", || knows(&fleet, index, true)).await;
             }
-            let before = fleet.engines[0].ledger().started.len();
+            let before = fleet.engines[0].record().started.len();
             for index in 0..12 {
-                let ask = Ask::new("narrator", &format!("Cell {index}"), 2);
-                assert!(fleet.caller(index % 3).ask(&ask).await.is_whole(&ask));
+                let ask = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
+                assert!(fleet.caller(index % 3).send_chat(&ask).await.is_complete_for(&ask));
             }
-            assert_eq!(fleet.engines[0].ledger().started.len(), before, "no new work");
+            assert_eq!(fleet.engines[0].record().started.len(), before, "no new work");
             for answer in running {
                 let answer = answer.await;
-                assert!(answer.is_whole(&long), "{answer:?}");
+                assert!(answer.is_complete_for(&long), "{answer:?}");
             }
-            fleet.list(&[]);
-            fleet.engines[0].leave(false);
+            fleet.publish_vms(&[]);
+            fleet.engines[0].set_leaving(false);
             for index in 0..3 {
-                fleet.until("each router knows that it stays", || knows(&fleet, index, false)).await;
+                fleet.wait_until("each router knows that it stays", || knows(&fleet, index, false)).await;
             }
             stop_all(&mut fleet).await;
         }
@@ -186,28 +186,28 @@
         fleet.roll(&bundle).await.expect("a bundle");
         for index in 0..fleet.nodes.len() {
             fleet
-                .until("the bundle is in force", || async {
+                .wait_until("the bundle is in force", || async {
                     fleet.status(index).await.unwrap_or_default()["bundle"]["sequence"].as_u64() == Some(2)
                 })
                 .await;
         }
         let started = |fleet: &harness::Fleet| -> Vec<usize> {
-            fleet.engines.iter().map(|engine| engine.ledger().started.len()).collect()
+            fleet.engines.iter().map(|engine| engine.record().started.len()).collect()
         };
         for index in 0..fleet.nodes.len() {
             // The routers learn of each other's new slots within a moment.
             fleet
-                .until("each router serves", || async {
-                    let ask = Ask::new("narrator", &format!("First {index}"), 2);
-                    fleet.caller(index).ask(&ask).await.is_whole(&ask)
+                .wait_until("each router serves", || async {
+                    let ask = ChatRequest::new("narrator", &format!("First {index}"), 2);
+                    fleet.caller(index).send_chat(&ask).await.is_complete_for(&ask)
                 })
                 .await;
         }
         let before = started(&fleet);
         for index in 0..24 {
-            let ask = Ask::new("narrator", &format!("Cell {index}"), 2);
-            let answer = fleet.caller(index % fleet.nodes.len()).ask(&ask).await;
-            assert!(answer.is_whole(&ask), "{answer:?}");
+            let ask = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
+            let answer = fleet.caller(index % fleet.nodes.len()).send_chat(&ask).await;
+            assert!(answer.is_complete_for(&ask), "{answer:?}");
         }
         let after = started(&fleet);
         for (index, data_centre) in all.iter().enumerate().filter(|(_, data_centre)| *data_centre == first) {
