--- a/tests/testsuite/budgets.rs
+++ b/tests/testsuite/budgets.rs
@@ -1,22 +1,23 @@
-//! Budgets under failure: never overspent, and served as long as any router that answers has tokens.
+//! Budgets during failures: they are never overspent, and requests are served as long as a reachable router
+//! has tokens.
 
-use crate::support::{budgets, consumed, fleet, line, run, stop_all};
+use crate::support::{answer_summary, budget_summary, consumed, run, start_fleet, stop_all};
 use harness::{Answer, ChatRequest, Fleet, Plan, audit};
 use standin::Mode;
 use std::collections::BTreeMap;
 
 const BUDGET: &str = "storm-desk/main";
 
-/// Sends `count` requests of about equal size to the routers in turn, a few at a time.
-async fn load(fleet: &Fleet, routers: &[usize], count: usize, tokens: u64) -> Vec<Answer> {
+/// Sends `count` requests of similar size to the routers in turn, eight at a time.
+async fn send_requests(fleet: &Fleet, routers: &[usize], count: usize, tokens: u64) -> Vec<Answer> {
     let mut answers = vec![];
-    for wave in (0..count).collect::<Vec<_>>().chunks(8) {
-        let tasks: Vec<_> = wave
+    for batch in (0..count).collect::<Vec<_>>().chunks(8) {
+        let tasks: Vec<_> = batch
             .iter()
             .map(|index| {
                 let caller = fleet.caller(routers[index % routers.len()]);
-                let ask = ChatRequest::new("narrator", &format!("Cell {index:04}"), tokens);
-                net::exec::spawn(async move { caller.send_chat(&ask).await })
+                let request = ChatRequest::new("narrator", &format!("Cell {index:04}"), tokens);
+                net::exec::spawn(async move { caller.send_chat(&request).await })
             })
             .collect();
         for task in tasks {
@@ -26,12 +27,12 @@
     answers
 }
 
-fn served(answers: &[Answer]) -> usize {
+fn count_served(answers: &[Answer]) -> usize {
     answers.iter().filter(|answer| answer.status == 200).count()
 }
 
-/// Counts answers by line.
-fn counts(answers: &[Answer]) -> BTreeMap<String, usize> {
+/// Counts the answers by outcome.
+fn count_outcomes(answers: &[Answer]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for answer in answers {
         let key = if answer.status == 200 {
@@ -44,56 +45,57 @@
     counts
 }
 
-/// What the callers were told must be what the platform recorded, and the engines never did more.
+/// Asserts that the recorded spend is the usage that the callers were told, and that the engines consumed no
+/// more than is recorded as spent or outstanding.
 fn assert_accounts(fleet: &Fleet, answers: &[Answer]) {
     let told: u64 = answers.iter().map(|answer| answer.usage).sum();
     let audit = &audit(fleet)[BUDGET];
-    assert_eq!(audit.spent, told, "recorded spend is what callers were told");
+    assert_eq!(audit.spent, told, "the recorded spend is the usage that callers were told");
     assert!(audit.balanced && audit.accounts_agree, "I1: {audit:?}");
     assert!(consumed(fleet) <= audit.spent + audit.outstanding, "I6: {audit:?}");
     assert!(audit.spent + audit.outstanding <= audit.credited);
 }
 
 #[test]
-fn a_budget_that_runs_out_is_spent_to_the_end_and_no_further() {
+fn an_exhausted_budget_is_spent_completely_and_not_overspent() {
     run(async {
         let mut plan = Plan::small();
         plan.teams[0].tokens = 2_000;
-        let mut fleet = fleet(plan).await;
-        let answers = load(&fleet, &[0, 1, 2], 120, 20).await;
+        let mut fleet = start_fleet(plan).await;
+        let answers = send_requests(&fleet, &[0, 1, 2], 120, 20).await;
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
         let audit = audit(&fleet)[BUDGET].clone();
-        // The worst case of one request here is about 160 tokens: less than that may be left.
-        assert!(audit.free < 200, "the last tokens are reachable from every router: {audit:?}");
+        // A request here reserves about 160 tokens at most, and no more than that may be left.
+        assert!(audit.free < 200, "tokens are left that requests could have used: {audit:?}");
         assert!(answers.iter().any(|answer| answer.code == "insufficient_quota"));
         assert!(answers.iter().all(|answer| answer.status == 200 || answer.execution == "not-run"));
     });
 }
 
 #[test]
-fn a_platform_outage_is_bridged_with_tokens_at_hand() {
+fn requests_are_served_from_held_tokens_during_a_platform_outage() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
-        let mut answers = load(&fleet, &[0, 1, 2], 24, 4).await;
+        let mut fleet = start_fleet(Plan::small()).await;
+        let mut answers = send_requests(&fleet, &[0, 1, 2], 24, 4).await;
         fleet.platform.set_mode(Mode::Down);
-        answers.extend(load(&fleet, &[0, 1, 2], 60, 4).await);
-        assert_eq!(served(&answers), 84, "{:?}", counts(&answers));
+        answers.extend(send_requests(&fleet, &[0, 1, 2], 60, 4).await);
+        assert_eq!(count_served(&answers), 84, "{:?}", count_outcomes(&answers));
         fleet.platform.set_mode(Mode::Up);
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
-        insta::assert_snapshot!(budgets(&fleet));
+        insta::assert_snapshot!(budget_summary(&fleet));
     });
 }
 
 #[test]
-fn a_router_without_tokens_borrows_from_a_peer_while_the_platform_is_away() {
+fn a_router_without_tokens_borrows_from_a_peer_during_a_platform_outage() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
-        let mut answers = load(&fleet, &[0], 16, 4).await;
+        let mut fleet = start_fleet(Plan::small()).await;
+        let mut answers = send_requests(&fleet, &[0], 16, 4).await;
         fleet.platform.set_mode(Mode::Down);
-        answers.extend(load(&fleet, &[1, 2], 16, 4).await);
-        assert_eq!(served(&answers), 32, "{:?}", counts(&answers));
+        answers.extend(send_requests(&fleet, &[1, 2], 16, 4).await);
+        assert_eq!(count_served(&answers), 32, "{:?}", count_outcomes(&answers));
         let metrics = fleet.get(0, "/metrics").await.expect("metrics");
         assert!(!metrics.contains("tallypaddle_lent_tokens_total 0"), "the first router lent tokens");
         fleet.platform.set_mode(Mode::Up);
@@ -103,32 +105,32 @@
 }
 
 #[test]
-fn a_budget_out_of_reach_is_refused_not_run_with_a_time_to_come_back() {
+fn an_unreachable_budget_is_refused_as_not_run_with_a_retry_time() {
     run(async {
         let mut plan = Plan::small();
         plan.routers = 1;
-        let fleet = fleet(plan).await;
+        let fleet = start_fleet(plan).await;
         fleet.platform.set_mode(Mode::Down);
         let answer = fleet.caller(0).chat("narrator", "Cell", 4).await;
-        assert_eq!(line(&answer), "503 budget_unreachable not-run retry-after=5");
-        assert_eq!(consumed(&fleet), 0, "not run is true (I4)");
+        assert_eq!(answer_summary(&answer), "503 budget_unreachable not-run retry-after=5");
+        assert_eq!(consumed(&fleet), 0, "the request did not run, as the answer says (I4)");
     });
 }
 
 #[test]
 fn lost_answers_neither_lose_nor_double_tokens() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         let mut answers = vec![];
         for _ in 0..6 {
             fleet.platform.set_mode(Mode::LoseAnswers(3));
-            answers.extend(load(&fleet, &[0, 1, 2], 12, 4).await);
+            answers.extend(send_requests(&fleet, &[0, 1, 2], 12, 4).await);
         }
         fleet.platform.set_mode(Mode::Up);
-        assert_eq!(served(&answers), 72, "{:?}", counts(&answers));
+        assert_eq!(count_served(&answers), 72, "{:?}", count_outcomes(&answers));
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
-        insta::assert_snapshot!(budgets(&fleet));
+        insta::assert_snapshot!(budget_summary(&fleet));
     });
 }
 
@@ -137,8 +139,8 @@
     run(async {
         let mut plan = Plan::small();
         plan.teams[0].tokens = 3_000;
-        let mut fleet = fleet(plan).await;
-        let mut answers = load(&fleet, &[0, 1, 2], 30, 10).await;
+        let mut fleet = start_fleet(plan).await;
+        let mut answers = send_requests(&fleet, &[0, 1, 2], 30, 10).await;
         fleet.cut_platform(2, true);
         fleet.cut_peers(2, true);
         let mut bundle = fleet.bundle.clone();
@@ -147,7 +149,7 @@
         let budget = team.and_then(|team| team.budgets.get_mut("main"));
         budget.expect("the budget").credits.push(credit);
         fleet.roll(&bundle).await.expect("a top-up");
-        answers.extend(load(&fleet, &[0, 1, 2], 60, 10).await);
+        answers.extend(send_requests(&fleet, &[0, 1, 2], 60, 10).await);
         fleet.cut_platform(2, false);
         fleet.cut_peers(2, false);
         fleet.wait_until_ready().await;
@@ -157,30 +159,30 @@
                 status["bundle"]["sequence"] == 2
             })
             .await;
-        answers.extend(load(&fleet, &[0, 1, 2], 300, 30).await);
+        answers.extend(send_requests(&fleet, &[0, 1, 2], 300, 30).await);
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
         let audit = &audit(&fleet)[BUDGET];
         assert_eq!(audit.credited, 7_000, "the top-up counts once (I5)");
-        assert!(audit.free < 200, "it can be spent: {audit:?}");
+        assert!(audit.free < 200, "the top-up can be spent: {audit:?}");
     });
 }
 
 #[test]
-fn a_killed_routers_tokens_stay_held_and_are_not_spent_again() {
+fn tokens_of_a_killed_router_stay_outstanding_and_are_not_spent_again() {
     run(async {
         let mut plan = Plan::small();
         plan.teams[0].tokens = 20_000;
-        let mut fleet = fleet(plan).await;
-        let mut answers = load(&fleet, &[0, 1, 2], 24, 10).await;
-        let long = ChatRequest::new("narrator", "A long sweep", 2_000).streamed();
+        let mut fleet = start_fleet(plan).await;
+        let mut answers = send_requests(&fleet, &[0, 1, 2], 24, 10).await;
+        let long_request = ChatRequest::new("narrator", "A long sweep", 2_000).streamed();
         let caller = fleet.caller(0);
-        let running = net::exec::spawn(async move { caller.send_chat(&long).await });
+        let running = net::exec::spawn(async move { caller.send_chat(&long_request).await });
         fleet.wait_until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
         fleet.nodes[0].process.kill();
         let broken = running.await;
-        assert!(!broken.complete, "the caller sees a broken answer, not a short one");
-        answers.extend(load(&fleet, &[1, 2], 400, 30).await);
+        assert!(!broken.complete, "the caller gets an incomplete answer");
+        answers.extend(send_requests(&fleet, &[1, 2], 400, 30).await);
         for index in 1..3 {
             fleet.nodes[index].process.terminate();
         }
@@ -188,80 +190,80 @@
         crate::support::wait_ended(&mut fleet, 2).await;
         let audit = &audit(&fleet)[BUDGET];
         assert!(audit.balanced && audit.accounts_agree, "I1: {audit:?}");
-        assert!(audit.outstanding > 0, "the dead router's tokens stay held");
+        assert!(audit.outstanding > 0, "the tokens of the killed router stay outstanding");
         let told: u64 = answers.iter().map(|answer| answer.usage).sum();
-        assert!(audit.spent <= told, "nothing is charged that nobody was told of");
+        assert!(audit.spent <= told, "no more is charged than callers were told");
         assert!(consumed(&fleet) <= audit.credited, "no overspend: {} {audit:?}", consumed(&fleet));
     });
 }
 
 #[test]
-fn a_frozen_router_goes_on_unaware_without_overspending() {
+fn a_router_that_was_paused_and_resumed_does_not_overspend() {
     run(async {
         let mut plan = Plan::small();
         plan.teams[0].tokens = 5_000;
-        let mut fleet = fleet(plan).await;
-        let mut answers = load(&fleet, &[0, 1, 2], 24, 10).await;
+        let mut fleet = start_fleet(plan).await;
+        let mut answers = send_requests(&fleet, &[0, 1, 2], 24, 10).await;
         fleet.nodes[0].process.pause();
-        answers.extend(load(&fleet, &[1, 2], 200, 20).await);
+        answers.extend(send_requests(&fleet, &[1, 2], 200, 20).await);
         fleet.nodes[0].process.resume();
-        answers.extend(load(&fleet, &[0, 1, 2], 150, 30).await);
+        answers.extend(send_requests(&fleet, &[0, 1, 2], 150, 30).await);
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
         let audit = &audit(&fleet)[BUDGET];
-        assert!(audit.free < 200, "after it woke, its tokens were spent too: {audit:?}");
+        assert!(audit.free < 200, "the tokens of the resumed router were spent too: {audit:?}");
     });
 }
 
 #[test]
-fn a_retry_elsewhere_is_served_after_its_router_died_while_the_platform_is_away() {
+fn a_retry_after_a_router_was_killed_during_a_platform_outage_is_served() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
-        let mut answers = load(&fleet, &[0, 1, 2], 24, 4).await;
+        let mut fleet = start_fleet(Plan::small()).await;
+        let mut answers = send_requests(&fleet, &[0, 1, 2], 24, 4).await;
         fleet.platform.set_mode(Mode::Down);
-        let ask = ChatRequest::new("narrator", "A long sweep", 600).with_key("sweep").streamed();
+        let request = ChatRequest::new("narrator", "A long sweep", 600).with_key("sweep").streamed();
         let caller = fleet.caller(0);
         let first = net::exec::spawn({
-            let ask = ask.clone();
-            async move { caller.send_chat(&ask).await }
+            let request = request.clone();
+            async move { caller.send_chat(&request).await }
         });
         fleet.wait_until("the run is open", || async { crate::support::open_runs(&fleet) == 1 }).await;
         fleet.nodes[0].process.kill();
         assert!(!first.await.complete);
-        let again = fleet.caller(1).send_chat(&ask).await;
-        assert!(again.is_complete_for(&ask), "{again:?}");
-        let joined = fleet.caller(2).send_chat(&ask).await;
-        assert!(joined.is_complete_for(&ask), "{joined:?}");
+        let retried = fleet.caller(1).send_chat(&request).await;
+        assert!(retried.is_complete_for(&request), "{retried:?}");
+        let joined = fleet.caller(2).send_chat(&request).await;
+        assert!(joined.is_complete_for(&request), "{joined:?}");
         fleet.platform.set_mode(Mode::Up);
         for index in 1..3 {
             fleet.nodes[index].process.terminate();
             crate::support::wait_ended(&mut fleet, index).await;
         }
-        answers.push(again);
+        answers.push(retried);
         let told: u64 = answers.iter().map(|answer| answer.usage).sum();
         let audit = &audit(&fleet)[BUDGET];
         assert!(audit.balanced && audit.accounts_agree, "I1: {audit:?}");
-        assert!(audit.spent <= told, "the sweep is charged once (I2): {audit:?}");
+        assert!(audit.spent <= told, "the repeated request is charged once (I2): {audit:?}");
         assert!(consumed(&fleet) <= audit.spent + audit.outstanding, "I6: {audit:?}");
     });
 }
 
-/// Tokens outstanding for a budget.
+/// The outstanding tokens of the budget.
 fn outstanding(fleet: &Fleet) -> u64 {
     audit(fleet).get(BUDGET).map_or(0, |audit| audit.outstanding)
 }
 
 #[test]
-fn most_of_a_lost_routers_tokens_come_back_without_any_being_spent_twice() {
+fn most_tokens_of_a_killed_router_are_recovered_and_none_is_spent_twice() {
     run(async {
         let mut plan = Plan::small();
         plan.limits.grant_min = 500;
         plan.limits.expose_refusals_s = 5;
-        let mut fleet = fleet(plan).await;
-        let mut answers = load(&fleet, &[0, 1, 2], 240, 20).await;
+        let mut fleet = start_fleet(plan).await;
+        let mut answers = send_requests(&fleet, &[0, 1, 2], 240, 20).await;
         fleet.wait_until("grants have grown with demand", || async { outstanding(&fleet) > 30_000 }).await;
         fleet
-            .wait_until("a keeper knows its task", || async {
+            .wait_until("the account of vm-1 names a keeper", || async {
                 let kept = fleet.platform.rows("account/");
                 kept.iter().any(|(key, row)| key.contains("vm-1#") && row.value.contains(r#""keeper":"vm-"#))
             })
@@ -274,12 +276,12 @@
         };
         fleet.nodes[0].process.kill();
         let (before, exposed, _) = held_by(&fleet);
-        assert!(before > 3 * exposed, "there is something to give back: {before}, exposed {exposed}");
+        assert!(before > 3 * exposed, "too few tokens to recover: {before}, exposed {exposed}");
         fleet.remove_from_vms(0);
         fleet.wait_until("the account is closed", || async { held_by(&fleet).2 }).await;
         let (after, _, _) = held_by(&fleet);
-        assert!(after <= exposed, "only what it may have used stays held: {after}, exposed {exposed}");
-        answers.extend(load(&fleet, &[1, 2], 40, 20).await);
+        assert!(after <= exposed, "more than the exposed tokens stay held: {after}, exposed {exposed}");
+        answers.extend(send_requests(&fleet, &[1, 2], 40, 20).await);
         for index in 1..3 {
             fleet.nodes[index].process.terminate();
             crate::support::wait_ended(&mut fleet, index).await;
@@ -291,17 +293,17 @@
 }
 
 #[test]
-fn a_router_whose_account_was_closed_while_it_was_frozen_spends_nothing_twice() {
+fn a_router_whose_account_was_closed_while_it_was_paused_spends_nothing_twice() {
     run(async {
         let mut plan = Plan::small();
         plan.teams[0].tokens = 20_000;
         plan.limits.grant_min = 500;
-        let mut fleet = fleet(plan).await;
-        let mut answers = load(&fleet, &[0, 1, 2], 60, 20).await;
+        let mut fleet = start_fleet(plan).await;
+        let mut answers = send_requests(&fleet, &[0, 1, 2], 60, 20).await;
         fleet.nodes[0].process.pause();
         fleet.remove_from_vms(0);
         fleet
-            .wait_until("its account is closed by mistake", || async {
+            .wait_until("the account of the paused router is closed", || async {
                 fleet
                     .platform
                     .rows("account/vm-1#")
@@ -309,19 +311,22 @@
                     .any(|row| row.value.contains(r#""closed":true"#))
             })
             .await;
-        answers.extend(load(&fleet, &[1, 2], 200, 30).await);
+        answers.extend(send_requests(&fleet, &[1, 2], 200, 30).await);
         fleet.nodes[0].process.resume();
-        answers.extend(load(&fleet, &[0], 40, 30).await);
-        answers.extend(load(&fleet, &[1, 2], 300, 40).await);
+        answers.extend(send_requests(&fleet, &[0], 40, 30).await);
+        answers.extend(send_requests(&fleet, &[1, 2], 300, 40).await);
         stop_all(&mut fleet).await;
         assert_accounts(&fleet, &answers);
         assert!(consumed(&fleet) <= 20_000, "no overspend");
-        assert!(fleet.nodes[0].process.log().contains("account was closed"), "it learns of it");
+        assert!(
+            fleet.nodes[0].process.log().contains("account was closed"),
+            "the router logs that its account was closed"
+        );
     });
 }
 
 #[test]
-fn cut_off_from_everything_the_weighing_decides_between_serving_and_refusing() {
+fn the_weighing_decides_whether_an_isolated_router_serves_or_refuses() {
     run(async {
         for weighing in [bundle::Weighing::Refusals, bundle::Weighing::Overspend] {
             let mut plan = Plan::small();
@@ -329,11 +334,11 @@
             plan.limits.grant_min = 400;
             plan.limits.expose_refusals_s = 0;
             plan.limits.expose_overspend_s = 0;
-            let mut fleet = fleet(plan).await;
-            // Demand makes each router hold far more than it exposes.
-            let mut answers = load(&fleet, &[0, 1, 2], 240, 20).await;
+            let mut fleet = start_fleet(plan).await;
+            // The load makes each router hold far more tokens than it may expose.
+            let mut answers = send_requests(&fleet, &[0, 1, 2], 240, 20).await;
             fleet
-                .wait_until("its grant has grown", || async {
+                .wait_until("the grant of the router has grown", || async {
                     let status = fleet.status(0).await.unwrap_or_default();
                     status["budgets"][BUDGET]["available"].as_u64() > Some(20_000)
                 })
@@ -342,13 +347,13 @@
                 fleet.cut_platform(index, true);
                 fleet.cut_peers(index, true);
             }
-            // Far more than what was in use when it settled last.
-            answers.extend(load(&fleet, &[0], 120, 20).await);
-            let served = served(&answers) - 240;
+            // This takes far more tokens than were in use at the router's last settlement.
+            answers.extend(send_requests(&fleet, &[0], 120, 20).await);
+            let served = count_served(&answers) - 240;
             match weighing {
-                bundle::Weighing::Refusals => assert_eq!(served, 120, "{:?}", counts(&answers)),
+                bundle::Weighing::Refusals => assert_eq!(served, 120, "{:?}", count_outcomes(&answers)),
                 bundle::Weighing::Overspend => {
-                    assert!(served < 120, "{:?}", counts(&answers));
+                    assert!(served < 120, "{:?}", count_outcomes(&answers));
                     assert!(
                         answers.iter().all(|answer| answer.status == 200 || answer.execution == "not-run")
                     );
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -1,36 +1,36 @@
-//! What callers meet: the usual protocol, clear refusals, whole answers.
+//! The interface for callers: complete answers, refusals with a code, and plain services.
 
-use crate::support::{budgets, executions, fleet, line, open_runs, run, stop_all};
+use crate::support::{answer_summary, budget_summary, executions, open_runs, run, start_fleet, stop_all};
 use harness::{ChatRequest, Plan};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 use std::fmt::Write;
 
 #[test]
-fn answers_are_whole_and_charged_once() {
+fn answers_are_complete_and_charged_once() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         let mut text = String::new();
         for router in 0..3 {
             for (model, stream) in [("narrator", false), ("narrator", true), ("hail-flag", true)] {
-                let mut ask = ChatRequest::new(model, "Describe the storm.", 7);
-                ask.stream = stream;
-                let answer = fleet.caller(router).send_chat(&ask).await;
-                assert!(answer.is_complete_for(&ask), "{answer:?}");
-                assert!(!answer.request_id.is_empty(), "every answer names its request");
-                let _ = writeln!(text, "{model} stream={stream}: {}", line(&answer));
+                let mut request = ChatRequest::new(model, "Describe the storm.", 7);
+                request.stream = stream;
+                let answer = fleet.caller(router).send_chat(&request).await;
+                assert!(answer.is_complete_for(&request), "{answer:?}");
+                assert!(!answer.request_id.is_empty(), "every answer has a request id");
+                let _ = writeln!(text, "{model} stream={stream}: {}", answer_summary(&answer));
             }
         }
         stop_all(&mut fleet).await;
-        text.push_str(&budgets(&fleet));
+        text.push_str(&budget_summary(&fleet));
         insta::assert_snapshot!(text);
     });
 }
 
 #[test]
-fn bad_requests_are_refused_clearly() {
+fn invalid_requests_are_refused_with_a_code() {
     run(async {
-        let fleet = fleet(Plan::small()).await;
+        let fleet = start_fleet(Plan::small()).await;
         let caller = fleet.caller(0);
         let path = "/v1/chat/completions";
         let message = r#""messages":[{"role":"user","content":"x"}]"#;
@@ -48,20 +48,20 @@
         let mut text = String::new();
         for (name, body) in bodies {
             let answer = caller.send(caller.request("POST", path, body)).await;
-            let _ = writeln!(text, "{name}: {}", line(&answer));
+            let _ = writeln!(text, "{name}: {}", answer_summary(&answer));
         }
         let mut request = caller.request("POST", path, "{}");
         request.headers_mut().insert("authorization", "Bearer nobody".parse().expect("a header"));
-        let _ = writeln!(text, "unknown key: {}", line(&caller.send(request).await));
+        let _ = writeln!(text, "unknown key: {}", answer_summary(&caller.send(request).await));
         let mut request = caller.request("POST", path, "{}");
         request.headers_mut().remove("authorization");
-        let _ = writeln!(text, "no key: {}", line(&caller.send(request).await));
+        let _ = writeln!(text, "no key: {}", answer_summary(&caller.send(request).await));
         let mut request = caller.request("POST", path, "{}");
         request.headers_mut().insert("idempotency-key", "".parse().expect("a header"));
-        let _ = writeln!(text, "empty idempotency key: {}", line(&caller.send(request).await));
+        let _ = writeln!(text, "empty idempotency key: {}", answer_summary(&caller.send(request).await));
         for (method, path) in [("GET", path), ("GET", "/nowhere"), ("GET", "/services/oracle/x")] {
             let answer = caller.send(caller.request(method, path, "")).await;
-            let _ = writeln!(text, "{method} {path}: {}", line(&answer));
+            let _ = writeln!(text, "{method} {path}: {}", answer_summary(&answer));
         }
         let mut request = caller.request("GET", "/v1/models", "");
         for index in 0..200 {
@@ -70,19 +70,19 @@
         }
         let _ = writeln!(text, "header flood: {}", caller.send(request).await.status);
         let after = caller.chat("narrator", "still there?", 2).await;
-        let _ = writeln!(text, "afterwards: {}", line(&after));
+        let _ = writeln!(text, "afterwards: {}", answer_summary(&after));
         insta::assert_snapshot!(text);
     });
 }
 
 #[test]
-fn a_slow_sender_does_not_hold_a_connection_for_ever() {
+fn a_slow_sender_does_not_keep_a_connection_open() {
     run(async {
         let mut plan = Plan::small();
         plan.routers = 1;
         plan.router_limits.head_ms = 200;
         plan.router_limits.body_ms = 200;
-        let fleet = fleet(plan).await;
+        let fleet = start_fleet(plan).await;
         let mut stream = TcpStream::connect(fleet.nodes[0].callers).await.expect("a connection");
         stream.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n").await.expect("half a head");
         let mut answer = vec![];
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn work_of_a_caller_that_vanishes_is_cancelled_and_charged() {
+fn a_run_is_cancelled_and_charged_when_its_caller_disconnects() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         let key = fleet.plan.teams[0].key();
         let body = r#"{"model":"narrator","max_tokens":5000,"stream":true,"messages":[{"role":"user","content":"long"}]}"#;
         let head = format!(
@@ -129,7 +129,7 @@
 #[test]
 fn plain_services_are_routed_with_any_method_and_large_bodies() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         let caller = fleet.caller(0);
         let mut text = String::new();
         for (method, size) in [("GET", 0), ("PUT", 10), ("POST", 3 << 20), ("DELETE", 0)] {
@@ -138,15 +138,15 @@
             let _ = writeln!(text, "{} {}", answer.status, answer.text);
         }
         stop_all(&mut fleet).await;
-        text.push_str(&budgets(&fleet));
+        text.push_str(&budget_summary(&fleet));
         insta::assert_snapshot!(text);
     });
 }
 
 #[test]
-fn operators_learn_what_happened_to_a_request() {
+fn the_record_of_a_request_lists_its_steps() {
     run(async {
-        let fleet = fleet(Plan::small()).await;
+        let fleet = start_fleet(Plan::small()).await;
         let answer = fleet.caller(1).chat("narrator", "Describe the storm.", 3).await;
         let path = format!("/v1/requests/{}", answer.request_id);
         fleet
--- a/tests/testsuite/command_line.rs
+++ b/tests/testsuite/command_line.rs
@@ -1,6 +1,6 @@
-//! The programs as operators meet them.
+//! The command lines of the programs.
 
-use crate::support::{fleet, program, run};
+use crate::support::{program, run, start_fleet};
 use harness::Plan;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -9,8 +9,8 @@
     Command::new(env!("CARGO_BIN_EXE_tallypaddlectl"))
 }
 
-/// Output in one text, with the folder's name taken out.
-fn told(output: &Output, folder: &Path) -> String {
+/// The output and exit code of a command as one text, without the name of the folder.
+fn output_text(output: &Output, folder: &Path) -> String {
     let text = format!(
         "{}{}exit {}\n",
         String::from_utf8_lossy(&output.stdout),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn wrong_settings_are_named_all_at_once() {
+fn all_errors_in_settings_are_reported_together() {
     let folder = Folder::new();
     let path = folder.write(
         "router.yaml",
@@ -51,12 +51,12 @@
          platform: {address: 127.0.0.1:4, timeout-sm: 5}\nfleet-keys: [short]\ntrust:\n  keys: [abc]\n  needed: 2\n\
          limits:\n  sync-ms: 0\nlogs: loud\n",
     );
-    let output = Command::new(program()).arg("check").arg(&path).output().expect("it runs");
-    insta::assert_snapshot!(told(&output, &folder.0));
+    let output = Command::new(program()).arg("check").arg(&path).output().expect("the program runs");
+    insta::assert_snapshot!(output_text(&output, &folder.0));
 }
 
 #[test]
-fn wrong_bundles_are_named_all_at_once() {
+fn all_errors_in_a_bundle_are_reported_together() {
     let folder = Folder::new();
     let path = folder.write(
         "bundle.yaml",
@@ -66,14 +66,15 @@
         \x20 engine-2: {address: 127.0.0.1:1, data-centre: a, slots: 0, models: [oracle]}\n\
          models:\n  narrator: {context: 100, default-max-tokens: 200}\nlimits: {retry-share: 3}\nextra: 1\n",
     );
-    let output = ctl().args(["bundle", "check"]).arg(&path).output().expect("it runs");
-    insta::assert_snapshot!(told(&output, &folder.0));
+    let output = ctl().args(["bundle", "check"]).arg(&path).output().expect("the program runs");
+    insta::assert_snapshot!(output_text(&output, &folder.0));
 }
 
 #[test]
-fn a_missing_file_is_named() {
-    let output = Command::new(program()).args(["check", "/nowhere/router.yaml"]).output().expect("it runs");
-    insta::assert_snapshot!(told(&output, Path::new("/none")));
+fn a_missing_file_is_reported_by_name() {
+    let output =
+        Command::new(program()).args(["check", "/nowhere/router.yaml"]).output().expect("the program runs");
+    insta::assert_snapshot!(output_text(&output, Path::new("/none")));
 }
 
 #[test]
@@ -82,7 +83,7 @@
         let folder = Folder::new();
         let mut plan = Plan::small();
         plan.needed_signatures = 2;
-        let fleet = fleet(plan).await;
+        let fleet = start_fleet(plan).await;
         let mut bundle = fleet.bundle.clone();
         bundle.limits.queue = 77;
         let credit = budget::ledger::Credit { id: "prepaid-2".to_owned(), tokens: 500 };
@@ -170,7 +171,7 @@
         let mut all = String::new();
         for step in steps {
             all.push_str(&format!("$ {}\n", step[..2].join(" ")));
-            all.push_str(&told(&ctl().args(&step).output().expect("it runs"), &folder.0));
+            all.push_str(&output_text(&ctl().args(&step).output().expect("the program runs"), &folder.0));
         }
         for index in 0..3 {
             fleet
@@ -179,13 +180,14 @@
                 })
                 .await;
         }
-        let status = ctl().args(["bundle", "status", "-s", &settings]).output().expect("it runs");
+        let status = ctl().args(["bundle", "status", "-s", &settings]).output().expect("the program runs");
         let status = String::from_utf8_lossy(&status.stdout).into_owned();
         for line in status.lines() {
             all.push_str(line.split(" for ").next().unwrap_or_default());
             all.push('\n');
         }
-        let log = ctl().args(["bundle", "log", "-s", &settings, "--json"]).output().expect("it runs");
+        let log =
+            ctl().args(["bundle", "log", "-s", &settings, "--json"]).output().expect("the program runs");
         let log: serde_json::Value = serde_json::from_slice(&log.stdout).expect("JSON");
         for accepted in log.as_array().expect("a list") {
             let by = accepted["by"].as_array().map_or(0, Vec::len);
@@ -196,17 +198,17 @@
 }
 
 #[test]
-fn a_new_key_is_written_once_and_only_for_its_owner() {
+fn a_new_key_is_readable_by_its_owner_only_and_never_overwritten() {
     use std::os::unix::fs::PermissionsExt;
     let folder = Folder::new();
     let path = folder.0.join("author.key");
-    let first = ctl().args(["key", "new"]).arg(&path).output().expect("it runs");
+    let first = ctl().args(["key", "new"]).arg(&path).output().expect("the program runs");
     assert!(first.status.success());
     let secret = bundle::Secret::from_hex(&std::fs::read_to_string(&path).expect("a file")).expect("a key");
     assert_eq!(String::from_utf8_lossy(&first.stdout).trim(), secret.public());
     let mode = std::fs::metadata(&path).expect("a file").permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
-    let second = ctl().args(["key", "new"]).arg(&path).output().expect("it runs");
+    let second = ctl().args(["key", "new"]).arg(&path).output().expect("the program runs");
     assert_eq!(second.status.code(), Some(2), "an existing key is never overwritten");
 }
 
@@ -224,7 +226,7 @@
 ";
 
 #[test]
-fn denials_are_listed_and_lifted_by_fingerprint() {
+fn quarantine_commands_report_a_wrong_fingerprint_and_an_unreachable_store() {
     let folder = Folder::new();
     let settings = folder.write(
         "gateway.yaml",
@@ -232,8 +234,9 @@
          127.0.0.1:4}\nstore: 127.0.0.1:9\n",
     );
     let call = |args: &[&str]| {
-        let output = ctl().arg("quarantine").args(args).arg("-s").arg(&settings).output().expect("it runs");
-        told(&output, &folder.0)
+        let output =
+            ctl().arg("quarantine").args(args).arg("-s").arg(&settings).output().expect("the program runs");
+        output_text(&output, &folder.0)
     };
     insta::assert_snapshot!(
         [call(&["lift", "no-fingerprint"]), call(&["list"]), call(&["lift", "all"])].join("\n")
@@ -245,9 +248,13 @@
     let folder = Folder::new();
     let log = folder.write("vm-1.log", GATEWAY_LOG);
     let other = folder.write("vm-2.log", &GATEWAY_LOG.replace("a-1", "b-1"));
-    let output = ctl().args(["explain", "a-1"]).arg(&log).arg(&other).output().expect("it runs");
-    let unknown = ctl().args(["explain", "nobody"]).arg(&log).output().expect("it runs");
-    insta::assert_snapshot!(format!("{}{}", told(&output, &folder.0), told(&unknown, &folder.0)));
+    let output = ctl().args(["explain", "a-1"]).arg(&log).arg(&other).output().expect("the program runs");
+    let unknown = ctl().args(["explain", "nobody"]).arg(&log).output().expect("the program runs");
+    insta::assert_snapshot!(format!(
+        "{}{}",
+        output_text(&output, &folder.0),
+        output_text(&unknown, &folder.0)
+    ));
 }
 
 const GATEWAY_SETTINGS: &str = "\
@@ -267,19 +274,19 @@
 ";
 
 #[test]
-fn a_gateways_settings_are_checked_and_every_mistake_is_named() {
+fn all_errors_in_gateway_settings_are_reported_together() {
     let folder = Folder::new();
     let filled = GATEWAY_SETTINGS;
-    let right = folder.write("right.yaml", filled);
-    let wrong = filled.replace("threads: 1", "threads: 0").replace("retry-ratio: 0.2", "retry-ratio: 2");
-    let wrong = wrong.replace("link-mbps: 10.0", "link-mbps: -1");
-    let wrong = folder.write("wrong.yaml", &wrong.replace("store:", "shop:"));
+    let valid = folder.write("right.yaml", filled);
+    let invalid = filled.replace("threads: 1", "threads: 0").replace("retry-ratio: 0.2", "retry-ratio: 2");
+    let invalid = invalid.replace("link-mbps: 10.0", "link-mbps: -1");
+    let invalid = folder.write("wrong.yaml", &invalid.replace("store:", "shop:"));
     let check = |file: &Path| {
-        Command::new(program()).args(["check", "--gateway"]).arg(file).output().expect("it runs")
+        Command::new(program()).args(["check", "--gateway"]).arg(file).output().expect("the program runs")
     };
     insta::assert_snapshot!(format!(
         "{}{}",
-        told(&check(&right), &folder.0),
-        told(&check(&wrong), &folder.0)
+        output_text(&check(&valid), &folder.0),
+        output_text(&check(&invalid), &folder.0)
     ));
 }
--- a/tests/testsuite/documents.rs
+++ b/tests/testsuite/documents.rs
@@ -1,4 +1,4 @@
-//! The book against the code: every key with its default, every metric, every example.
+//! Checks the documentation against the code: limits and their defaults, metrics, error codes and examples.
 
 use std::path::PathBuf;
 
@@ -7,14 +7,14 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The YAML example of a page.
+/// The first YAML example of a page.
 fn example(page: &str) -> &str {
     let begin = page.find("```yaml\n").expect("an example") + "```yaml\n".len();
     let end = page[begin..].find("```").expect("the end of the example");
     &page[begin..begin + end]
 }
 
-/// Asserts that a page has a row for each key of `value`, with its default.
+/// Asserts that a page has a table row for each limit in `value`, with its default, and no other such rows.
 fn assert_limits(page: &str, value: &serde_json::Value) {
     for (key, default) in value.as_object().expect("a mapping") {
         let row = page
@@ -54,7 +54,7 @@
 #[test]
 fn the_metrics_page_names_every_metric() {
     crate::support::run(async {
-        let fleet = crate::support::fleet(harness::Plan::small()).await;
+        let fleet = crate::support::start_fleet(harness::Plan::small()).await;
         assert_eq!(fleet.caller(0).chat("narrator", "x", 2).await.status, 200);
         let page = page("operate/metrics.md");
         let metrics = fleet.get(0, "/metrics").await.expect("metrics");
@@ -75,7 +75,7 @@
         for (at, _) in text.match_indices("Refusal::not_run(") {
             let call: String = text[at..].chars().take(300).collect();
             let before = call.split('"').next().unwrap_or_default();
-            // A code that is passed in stands where the function is called; these are named below.
+            // This call passes on a code that its function was given. Such codes are listed below.
             if before.contains("code") {
                 continue;
             }
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The integration suite: real router processes, stand-ins for what they meet, and faults in between.
+//! Integration tests: real router processes, stand-ins for the servers that they talk to, and injected faults.
 
 mod budgets;
 mod bundles;
--- a/tests/testsuite/stops.rs
+++ b/tests/testsuite/stops.rs
@@ -1,6 +1,6 @@
-//! Planned stops cut off nothing and give unused tokens back.
+//! Planned stops of routers: open requests are finished and unused tokens are returned.
 
-use crate::support::{fleet, open_runs, run, stop_all, wait_ended};
+use crate::support::{open_runs, run, start_fleet, stop_all, wait_ended};
 use harness::{ChatRequest, Plan};
 
 #[test]
@@ -8,36 +8,38 @@
     run(async {
         let mut plan = Plan::small();
         plan.router_limits.stop_delay_ms = 200;
-        let mut fleet = fleet(plan).await;
-        let long = ChatRequest::new("narrator", "A long sweep", 700).streamed();
+        let mut fleet = start_fleet(plan).await;
+        let long_request = ChatRequest::new("narrator", "A long sweep", 700).streamed();
         let caller = fleet.caller(0);
         let running = net::exec::spawn({
-            let long = long.clone();
-            async move { caller.send_chat(&long).await }
+            let long_request = long_request.clone();
+            async move { caller.send_chat(&long_request).await }
         });
         fleet.wait_until("the run is open", || async { open_runs(&fleet) == 1 }).await;
         fleet.nodes[0].process.terminate();
         fleet
-            .wait_until("it is not ready at once", || async { fleet.get(0, "/ready").await.is_none() })
+            .wait_until("the stopping router is not ready", || async {
+                fleet.get(0, "/ready").await.is_none()
+            })
             .await;
         let path = "/v1/status";
         fleet
-            .wait_until("it drains", || async {
+            .wait_until("a peer lists the stopping router as gone", || async {
                 fleet.get(1, path).await.is_some_and(|status| status.contains(r#""gone":["vm-1"]"#))
             })
             .await;
         let refused = fleet.caller(0).chat("narrator", "new work", 2).await;
         assert!(refused.status == 0 || refused.execution == "not-run", "{refused:?}");
         let answer = running.await;
-        assert!(answer.is_complete_for(&long), "the open stream is finished: {answer:?}");
+        assert!(answer.is_complete_for(&long_request), "the open stream is finished: {answer:?}");
         wait_ended(&mut fleet, 0).await;
         for index in 1..3 {
-            let ask = ChatRequest::new("narrator", "Go on", 3);
-            assert!(fleet.caller(index).send_chat(&ask).await.is_complete_for(&ask));
+            let request = ChatRequest::new("narrator", "Go on", 3);
+            assert!(fleet.caller(index).send_chat(&request).await.is_complete_for(&request));
         }
         stop_all_but_first(&mut fleet).await;
         let audit = &harness::audit(&fleet)["storm-desk/main"];
-        assert_eq!(audit.outstanding, 0, "every unused token is given back: {audit:?}");
+        assert_eq!(audit.outstanding, 0, "every unused token is returned: {audit:?}");
     });
 }
 
@@ -53,16 +55,16 @@
 #[test]
 fn a_stop_during_a_platform_outage_waits_until_the_tokens_are_settled() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
-        let ask = ChatRequest::new("narrator", "Describe the storm.", 3);
-        assert!(fleet.caller(0).send_chat(&ask).await.is_complete_for(&ask));
+        let mut fleet = start_fleet(Plan::small()).await;
+        let request = ChatRequest::new("narrator", "Describe the storm.", 3);
+        assert!(fleet.caller(0).send_chat(&request).await.is_complete_for(&request));
         fleet.platform.set_mode(standin::Mode::Down);
-        assert!(fleet.caller(0).send_chat(&ask).await.is_complete_for(&ask));
+        assert!(fleet.caller(0).send_chat(&request).await.is_complete_for(&request));
         for node in &fleet.nodes {
             node.process.terminate();
         }
         fleet
-            .wait_until("the settlement is tried in vain", || async {
+            .wait_until("a settlement was tried and failed", || async {
                 fleet.nodes[0].process.log().contains("settle: batch")
             })
             .await;
@@ -75,20 +77,20 @@
 }
 
 #[test]
-fn a_rolling_replacement_of_all_routers_loses_no_request() {
+fn a_rolling_restart_of_all_routers_loses_no_request() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         for index in 0..3 {
             fleet.nodes[index].process.terminate();
             for round in 0..9 {
-                let ask = ChatRequest::new("narrator", &format!("Cell {index} {round}"), 4);
-                let mut answer = fleet.caller(round % 3).send_chat(&ask).await;
+                let request = ChatRequest::new("narrator", &format!("Cell {index} {round}"), 4);
+                let mut answer = fleet.caller(round % 3).send_chat(&request).await;
                 if answer.status != 200 {
-                    // What a caller does on "not run" or a refused connection: it asks another router.
+                    // On "not run" or a refused connection, callers retry at another router.
                     assert!(answer.status == 0 || answer.execution == "not-run", "{answer:?}");
-                    answer = fleet.caller((index + 1) % 3).send_chat(&ask).await;
+                    answer = fleet.caller((index + 1) % 3).send_chat(&request).await;
                 }
-                assert!(answer.is_complete_for(&ask), "{answer:?}");
+                assert!(answer.is_complete_for(&request), "{answer:?}");
             }
             wait_ended(&mut fleet, index).await;
             fleet.restart(index);
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -1,27 +1,27 @@
-//! What the tests share.
+//! Functions that the tests share.
 
 use harness::{Answer, Fleet, Plan, audit};
 use std::fmt::Write;
 use std::path::Path;
 
-/// The router's program.
+/// The path of the router program.
 pub fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_tallypaddle"))
 }
 
-/// Runs a test on the worker threads.
+/// Runs an asynchronous test on four worker threads.
 pub fn run(test: impl Future<Output = ()>) {
     net::exec::start(4);
     net::exec::block_on(test);
 }
 
-/// Starts a fleet.
-pub async fn fleet(plan: Plan) -> Fleet {
+/// Starts a fleet and waits until it is ready.
+pub async fn start_fleet(plan: Plan) -> Fleet {
     Fleet::start(program(), plan).await
 }
 
-/// An answer in one line that is the same in every run.
-pub fn line(answer: &Answer) -> String {
+/// The properties of an answer that are the same in every run, in one line.
+pub fn answer_summary(answer: &Answer) -> String {
     let mut text = format!("{}", answer.status);
     if !answer.code.is_empty() {
         let _ = write!(text, " {} {}", answer.code, answer.execution);
@@ -35,7 +35,7 @@
     text
 }
 
-/// Asks all routers to stop and waits until they have.
+/// Asks all routers to stop and waits until their processes have ended.
 pub async fn stop_all(fleet: &mut Fleet) {
     for node in &fleet.nodes {
         node.process.terminate();
@@ -45,21 +45,21 @@
     }
 }
 
-/// Waits until a router's process has ended; it must have ended well.
+/// Waits until a router's process has ended, and asserts that it ended with success.
 pub async fn wait_ended(fleet: &mut Fleet, index: usize) {
-    let patience = std::time::Instant::now() + std::time::Duration::from_secs(30);
+    let deadline = std::time::Instant::now() + std::time::Duration::from_secs(30);
     loop {
         if let Some(status) = fleet.nodes[index].process.exit_status() {
             assert!(status.success(), "{status}: {}", fleet.nodes[index].process.log());
             return;
         }
-        assert!(std::time::Instant::now() < patience, "still running: {}", fleet.nodes[index].process.log());
+        assert!(std::time::Instant::now() < deadline, "still running: {}", fleet.nodes[index].process.log());
         net::exec::sleep(std::time::Duration::from_millis(10)).await;
     }
 }
 
-/// The budgets by the platform's rows; panics unless I1 holds.
-pub fn budgets(fleet: &Fleet) -> String {
+/// A line per budget, by the platform's rows. Asserts that I1 holds.
+pub fn budget_summary(fleet: &Fleet) -> String {
     let mut text = String::new();
     for (budget, audit) in audit(fleet) {
         assert!(audit.balanced, "I1: {budget}: {audit:?}");
@@ -73,7 +73,7 @@
     text
 }
 
-/// Tokens that the engines generated and read for all runs, by their own records.
+/// The number of tokens that the engines read and generated for all runs, by their own records.
 pub fn consumed(fleet: &Fleet) -> u64 {
     fleet
         .engines
@@ -83,12 +83,12 @@
         .sum()
 }
 
-/// Runs that neither ended nor were cancelled.
+/// The number of runs that have neither ended nor been cancelled, by the engines' own records.
 pub fn open_runs(fleet: &Fleet) -> usize {
     fleet.engines.iter().map(|engine| engine.record().open_runs.len()).sum()
 }
 
-/// How often a prompt was run, by the engines' own records.
+/// The number of runs of a prompt, by the engines' own records.
 pub fn executions(fleet: &Fleet, prompt: &str) -> u64 {
     fleet.engines.iter().filter_map(|engine| engine.record().executions.get(prompt).copied()).sum()
 }
--- a/tests/testsuite/upstreams.rs
+++ b/tests/testsuite/upstreams.rs
@@ -1,39 +1,40 @@
-//! Upstreams that fail: no short answers, no orphaned work, no new work for those that leave.
+//! Upstreams that fail or leave: answers are never cut short silently, no run is left open, and leaving
+//! upstreams get no new requests.
 
-use crate::support::{budgets, executions, fleet, line, open_runs, run, stop_all};
+use crate::support::{answer_summary, budget_summary, executions, open_runs, run, start_fleet, stop_all};
 use harness::{ChatRequest, Plan};
 use standin::{Fault, Rule};
 use std::fmt::Write;
 
 #[test]
-fn a_broken_stream_is_taken_up_again() {
+fn a_broken_stream_is_resumed() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         for engine in &fleet.engines {
             engine.set_fault(Fault::Break(3));
         }
-        let ask = ChatRequest::new("narrator", "Describe the storm.", 20).streamed();
-        let answer = fleet.caller(0).send_chat(&ask).await;
-        assert!(answer.is_complete_for(&ask), "{answer:?}");
-        assert_eq!(executions(&fleet, &ask.prompt), 1);
+        let request = ChatRequest::new("narrator", "Describe the storm.", 20).streamed();
+        let answer = fleet.caller(0).send_chat(&request).await;
+        assert!(answer.is_complete_for(&request), "{answer:?}");
+        assert_eq!(executions(&fleet, &request.prompt), 1);
         stop_all(&mut fleet).await;
-        insta::assert_snapshot!(format!("{}\n{}", line(&answer), budgets(&fleet)));
+        insta::assert_snapshot!(format!("{}\n{}", answer_summary(&answer), budget_summary(&fleet)));
     });
 }
 
 #[test]
 fn a_stream_that_cannot_be_completed_ends_with_an_error_and_an_abort() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         for engine in &fleet.engines {
             engine.set_fault(Fault::BreakPermanently(3));
         }
-        let ask = ChatRequest::new("narrator", "Describe the storm.", 500).streamed();
-        let answer = fleet.caller(0).send_chat(&ask).await;
-        assert!(!answer.complete, "never a silently short answer: {answer:?}");
+        let request = ChatRequest::new("narrator", "Describe the storm.", 500).streamed();
+        let answer = fleet.caller(0).send_chat(&request).await;
+        assert!(!answer.complete, "the answer is marked as incomplete: {answer:?}");
         let text = format!("{} {} {}", answer.status, answer.code, answer.execution);
         assert_eq!(text, "200 upstream_broke ran");
-        assert_eq!(open_runs(&fleet), 0, "no orphaned work");
+        assert_eq!(open_runs(&fleet), 0, "no run is left open");
         let consumed = crate::support::consumed(&fleet);
         stop_all(&mut fleet).await;
         assert_eq!(harness::audit(&fleet)["storm-desk/main"].spent, consumed);
@@ -41,26 +42,30 @@
 }
 
 #[test]
-fn a_refusing_engine_is_passed_over() {
+fn an_engine_that_refuses_requests_is_avoided() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         fleet.engines[0].set_fault(Fault::Refuse);
         fleet.engines[1].set_fault(Fault::Refuse);
         let mut text = String::new();
-        // Each request earns a tenth of a retry, so the first ones may meet the refusal.
+        // Each request earns a tenth of a retry, so the first ones may be refused without a retry.
         for index in 0..60 {
-            let ask = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
-            let answer = fleet.caller(0).send_chat(&ask).await;
-            let ok = answer.is_complete_for(&ask)
+            let request = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
+            let answer = fleet.caller(0).send_chat(&request).await;
+            let ok = answer.is_complete_for(&request)
                 || (answer.code == "upstream_failed" && answer.execution == "not-run");
             assert!(ok, "{answer:?}");
             if answer.execution == "not-run" {
-                assert_eq!(executions(&fleet, &ask.prompt), 0, "not run is true (I4)");
+                assert_eq!(
+                    executions(&fleet, &request.prompt),
+                    0,
+                    "the request did not run, as the answer says (I4)"
+                );
             }
         }
-        let ask = ChatRequest::new("narrator", "After both were ejected or passed over", 2);
-        let answer = fleet.caller(0).send_chat(&ask).await;
-        let _ = writeln!(text, "{}", line(&answer));
+        let request = ChatRequest::new("narrator", "After both were ejected or passed over", 2);
+        let answer = fleet.caller(0).send_chat(&request).await;
+        let _ = writeln!(text, "{}", answer_summary(&answer));
         stop_all(&mut fleet).await;
         insta::assert_snapshot!(text);
     });
@@ -73,16 +78,16 @@
         plan.routers = 1;
         plan.router_limits.stall_ms = 200;
         plan.limits.retry_share = 1.0;
-        let mut fleet = fleet(plan).await;
+        let mut fleet = start_fleet(plan).await;
         for engine in &fleet.engines[..2] {
             engine.set_fault(Fault::Stall(0));
         }
         for index in 0..6 {
-            let ask = ChatRequest::new("narrator", &format!("Sweep {index}"), 5).streamed();
-            let answer = fleet.caller(0).send_chat(&ask).await;
-            assert!(answer.is_complete_for(&ask), "{answer:?}");
+            let request = ChatRequest::new("narrator", &format!("Sweep {index}"), 5).streamed();
+            let answer = fleet.caller(0).send_chat(&request).await;
+            assert!(answer.is_complete_for(&request), "{answer:?}");
         }
-        assert_eq!(open_runs(&fleet), 0, "no orphaned work");
+        assert_eq!(open_runs(&fleet), 0, "no run is left open");
         stop_all(&mut fleet).await;
         let audit = &harness::audit(&fleet)["storm-desk/main"];
         let consumed = crate::support::consumed(&fleet);
@@ -91,7 +96,7 @@
 }
 
 #[test]
-fn an_unreachable_engine_leaves_tokens_held_until_it_tells() {
+fn tokens_stay_held_until_an_unreachable_engine_reports_the_usage() {
     run(async {
         let mut plan = Plan::small();
         plan.routers = 1;
@@ -99,22 +104,24 @@
         plan.engine_proxies = true;
         plan.router_limits.stall_ms = 300;
         plan.router_limits.call_ms = 200;
-        let mut fleet = fleet(plan).await;
-        let ask = ChatRequest::new("hail-flag", "Is there hail?", 50).streamed();
+        let mut fleet = start_fleet(plan).await;
+        let request = ChatRequest::new("hail-flag", "Is there hail?", 50).streamed();
         let caller = fleet.caller(0);
-        let asking = net::exec::spawn({
-            let ask = ask.clone();
-            async move { caller.send_chat(&ask).await }
+        let pending = net::exec::spawn({
+            let request = request.clone();
+            async move { caller.send_chat(&request).await }
         });
-        fleet.wait_until("the engine runs it", || async { executions(&fleet, &ask.prompt) == 1 }).await;
+        fleet
+            .wait_until("the engine runs the request", || async { executions(&fleet, &request.prompt) == 1 })
+            .await;
         fleet.engine_proxies[0].set_rule(Rule::Cut);
-        let answer = asking.await;
+        let answer = pending.await;
         assert!(!answer.complete, "{answer:?}");
         let held = fleet.status(0).await.expect("a status")["budgets"]["storm-desk/main"]["unknown"].as_u64();
         assert!(held.is_some_and(|held| held > 0), "{held:?}");
         fleet.engine_proxies[0].set_rule(Rule::Pass);
         fleet
-            .wait_until("the engine tells what the run consumed", || async {
+            .wait_until("the engine has reported the usage of the run", || async {
                 let status = fleet.status(0).await.unwrap_or_default();
                 status["budgets"]["storm-desk/main"]["unknown"].as_u64() == Some(0)
             })
@@ -126,15 +133,15 @@
 }
 
 #[test]
-fn a_leaving_upstream_gets_no_new_work_and_finishes_what_it_has() {
+fn a_leaving_upstream_gets_no_new_requests_and_finishes_its_runs() {
     run(async {
         for by_list in [true, false] {
-            let mut fleet = fleet(Plan::small()).await;
-            let long = ChatRequest::new("narrator", "A long sweep", 300).streamed();
+            let mut fleet = start_fleet(Plan::small()).await;
+            let long_request = ChatRequest::new("narrator", "A long sweep", 300).streamed();
             let mut running = vec![];
             for router in 0..3 {
-                let (caller, long) = (fleet.caller(router), long.clone());
-                running.push(net::exec::spawn(async move { caller.send_chat(&long).await }));
+                let (caller, long_request) = (fleet.caller(router), long_request.clone());
+                running.push(net::exec::spawn(async move { caller.send_chat(&long_request).await }));
             }
             fleet.wait_until("three runs are open", || async { open_runs(&fleet) == 3 }).await;
             if by_list {
@@ -143,40 +150,48 @@
                 fleet.engines[0].set_leaving(true);
             }
             for index in 0..3 {
-                fleet.wait_until("each router knows that it leaves", || knows(&fleet, index, true)).await;
+                fleet
+                    .wait_until("each router knows that the engine is leaving", || {
+                        sees_leaving(&fleet, index, true)
+                    })
+                    .await;
             }
             let before = fleet.engines[0].record().started.len();
             for index in 0..12 {
-                let ask = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
-                assert!(fleet.caller(index % 3).send_chat(&ask).await.is_complete_for(&ask));
+                let request = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
+                assert!(fleet.caller(index % 3).send_chat(&request).await.is_complete_for(&request));
             }
-            assert_eq!(fleet.engines[0].record().started.len(), before, "no new work");
+            assert_eq!(fleet.engines[0].record().started.len(), before, "no new runs");
             for answer in running {
                 let answer = answer.await;
-                assert!(answer.is_complete_for(&long), "{answer:?}");
+                assert!(answer.is_complete_for(&long_request), "{answer:?}");
             }
             fleet.publish_vms(&[]);
             fleet.engines[0].set_leaving(false);
             for index in 0..3 {
-                fleet.wait_until("each router knows that it stays", || knows(&fleet, index, false)).await;
+                fleet
+                    .wait_until("each router knows that the engine is no longer leaving", || {
+                        sees_leaving(&fleet, index, false)
+                    })
+                    .await;
             }
             stop_all(&mut fleet).await;
         }
     });
 }
 
-/// Whether a router thinks of the first engine as leaving, or as staying. One that owns no slot of it sends
-/// nothing there by itself.
-async fn knows(fleet: &harness::Fleet, index: usize, leaving: bool) -> bool {
+/// Whether the status of a router shows the first engine as leaving, or as not leaving. It is also true if
+/// the router has no slot of the engine, because it sends nothing there by itself.
+async fn sees_leaving(fleet: &harness::Fleet, index: usize, leaving: bool) -> bool {
     let status = fleet.status(index).await.unwrap_or_default();
     let own = &status["upstreams"]["engine-1"];
     own.is_null() || own["leaving"] == leaving
 }
 
 #[test]
-fn upstreams_of_an_evacuated_data_centre_get_nothing_new() {
+fn upstreams_of_an_evacuated_data_centre_get_no_new_requests() {
     run(async {
-        let mut fleet = fleet(Plan::small()).await;
+        let mut fleet = start_fleet(Plan::small()).await;
         let mut bundle = fleet.bundle.clone();
         let all: Vec<String> =
             bundle.upstreams.values().map(|upstream| upstream.data_centre.clone()).collect();
@@ -195,19 +210,19 @@
             fleet.engines.iter().map(|engine| engine.record().started.len()).collect()
         };
         for index in 0..fleet.nodes.len() {
-            // The routers learn of each other's new slots within a moment.
+            // It takes a short time until the routers know the new assignment of slots.
             fleet
                 .wait_until("each router serves", || async {
-                    let ask = ChatRequest::new("narrator", &format!("First {index}"), 2);
-                    fleet.caller(index).send_chat(&ask).await.is_complete_for(&ask)
+                    let request = ChatRequest::new("narrator", &format!("First {index}"), 2);
+                    fleet.caller(index).send_chat(&request).await.is_complete_for(&request)
                 })
                 .await;
         }
         let before = started(&fleet);
         for index in 0..24 {
-            let ask = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
-            let answer = fleet.caller(index % fleet.nodes.len()).send_chat(&ask).await;
-            assert!(answer.is_complete_for(&ask), "{answer:?}");
+            let request = ChatRequest::new("narrator", &format!("Cell {index}"), 2);
+            let answer = fleet.caller(index % fleet.nodes.len()).send_chat(&request).await;
+            assert!(answer.is_complete_for(&request), "{answer:?}");
         }
         let after = started(&fleet);
         for (index, data_centre) in all.iter().enumerate().filter(|(_, data_centre)| *data_centre == first) {
