--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests: real router processes, stand-ins for the servers that they talk to, and injected faults.
+//! Integration tests with real router processes, stand-ins for the servers that they talk to, and faults.
 
 mod budgets;
 mod bundles;
