--- a/crates/gateway/src/budget_state.rs
+++ b/crates/gateway/src/budget_state.rs
@@ -2,9 +2,9 @@
 //! settlement requests, and what the next usage note allows.
 
 use crate::settle::SETTLE_INTERVAL;
-use budget::demand::{Demand, Terms, is_off_target};
-use budget::exposure::{Notes, Outlook, Schedule};
-use budget::grant::{Grant, Reserve};
+use budget::demand::{Demand, HoldingPolicy, is_off_target};
+use budget::exposure::{Schedule, ScheduleInput, UsageNotes};
+use budget::grant::{Grant, ReserveOutcome};
 use budget::ledger::{Account, Batch, Level, Pool};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -105,7 +105,7 @@
     /// The number of accounts of this process that other gateways have closed.
     pub generation: u64,
     /// The usage notes that apply to the current account.
-    pub notes: Notes,
+    pub notes: UsageNotes,
 }
 
 impl BudgetState {
@@ -131,7 +131,7 @@
             latest_settlement: SettlementResult::default(),
             last_tick: started,
             generation: 0,
-            notes: Notes::default(),
+            notes: UsageNotes::default(),
         }
     }
 
@@ -157,7 +157,7 @@
 
     /// Reserves tokens if this gateway holds them and its notes allow their use.
     pub(crate) fn reserve(&mut self, tokens: u64) -> bool {
-        !self.exceeds_note_limit(tokens) && self.grant.reserve(tokens) == Reserve::Held
+        !self.exceeds_note_limit(tokens) && self.grant.reserve(tokens) == ReserveOutcome::Reserved
     }
 
     /// Whether using `tokens` more would exceed the limit of the notes.
@@ -178,32 +178,34 @@
     /// The schedule of the next note, which takes about `note_ms` to be acknowledged. `owners` is the number
     /// of gateways that own the budget.
     pub(crate) fn schedule(&self, note_ms: u64, owners: u64) -> Schedule {
-        Schedule::plan(&Outlook {
+        Schedule::plan(&ScheduleInput {
             used: self.grant.used(),
             charged: self.grant.charged(),
             waiting: self.waiting_tokens,
             available: self.grant.available(),
-            left: self.unspent(),
+            unspent: self.unspent(),
             owners,
             rate: self.demand.rate().max(self.use_growth.rate()),
-            note_ms,
+            note_latency_ms: note_ms,
         })
     }
 
     /// Updates the averages with the use of the last `elapsed_ms` milliseconds.
     fn update_averages(&mut self, elapsed_ms: u64) {
         let used = self.grant.used();
-        self.use_growth.consume(used.saturating_sub(self.max_used));
+        self.use_growth.record_consumption(used.saturating_sub(self.max_used));
         self.max_used = self.max_used.max(used);
-        self.use_growth.tick(elapsed_ms);
-        self.demand.tick(elapsed_ms);
+        self.use_growth.update_rate(elapsed_ms);
+        self.demand.update_rate(elapsed_ms);
         self.last_tick = Instant::now();
     }
 
     /// Why `tokens` can't be reserved, if the latest settlement shows that.
     pub(crate) fn denial_reason(&self, tokens: u64) -> Option<DenialReason> {
         let latest = &self.latest_settlement;
-        if !latest.succeeded || latest.pool_free + self.grant.available() + self.grant.returning() >= tokens {
+        if !latest.succeeded
+            || latest.pool_free + self.grant.available() + self.grant.pending_return() >= tokens
+        {
             return None;
         }
         let idle = (self.level.tokens as f64 * IDLE_ELSEWHERE_RATIO) as u64;
@@ -217,7 +219,7 @@
     /// spent, since then every token has to be within reach of every gateway. A gateway that does not own the
     /// budget has drawn tokens only because its owners did not answer, and holds what its own requests used
     /// recently.
-    fn target_tokens(&self, now: u64, team: &str, terms: &Terms, owners: u64) -> u64 {
+    fn target_tokens(&self, now: u64, team: &str, terms: &HoldingPolicy, owners: u64) -> u64 {
         let left = self.unspent() as f64;
         if left < self.level.tokens as f64 * NEARLY_SPENT_RATIO {
             return 0;
@@ -273,7 +275,7 @@
         if elapsed >= SETTLE_INTERVAL / 2 {
             self.update_averages(elapsed.as_millis() as u64);
         }
-        let terms = Terms { cover_s: DEMAND_COVER_S, least: 0, expose_s: DEMAND_COVER_S };
+        let terms = HoldingPolicy { cover_s: DEMAND_COVER_S, min_tokens: 0, expose_s: DEMAND_COVER_S };
         let target = match self.target_tokens(now, team, &terms, owners) {
             _ if closing || self.is_level_lowered => 0,
             target => match self.recalled_tokens {
@@ -288,14 +290,14 @@
         let level_is_new = self.rows.pool.level.is_none_or(|known| known.version < self.level.version)
             && self.rows.pool.level.is_none_or(|known| known.tokens != self.level.tokens);
         let is_overdue = closing || now.saturating_sub(self.latest_settlement.began_ms) >= self.record_ms;
-        let is_due = need > 0 || is_off || level_is_new || (is_overdue && self.grant.is_dirty());
+        let is_due = need > 0 || is_off || level_is_new || (is_overdue && self.grant.has_unsettled_changes());
         if !is_due {
             return None;
         }
         self.is_level_lowered = false;
         self.recalled_tokens = None;
         let spare = target.max(self.grant.available());
-        let entry = self.grant.open(target, need, spare, vec![], MAX_BATCH_CHARGES)?;
+        let entry = self.grant.open_entry(target, need, spare, vec![], MAX_BATCH_CHARGES)?;
         let sequence = self.rows.account.sequence + 1;
         let batch =
             Batch { sequence, entries: BTreeMap::from([(team.to_owned(), entry)]), ..Batch::default() };
@@ -307,14 +309,14 @@
     pub(crate) fn close_batch(&mut self, team: &str) {
         self.open_batch = None;
         let line = self.rows.account.lines.get(team).copied().unwrap_or_default();
-        self.grant.close(&line);
+        self.grant.close_entry(&line);
     }
 
     /// Starts a new account after another gateway closed the current one. What that one exposed does not
     /// return to the pool.
     pub(crate) fn reset_account(&mut self) {
         self.generation += 1;
-        self.notes = Notes::default();
+        self.notes = UsageNotes::default();
         self.grant = Grant::default();
         self.max_used = 0;
         self.open_batch = None;
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -7,7 +7,7 @@
 use http::request::Parts;
 use hyper::body::Bytes;
 use route::Millis;
-use route::place::{self, Chosen, Need, Ticket};
+use route::placement::{self, DispatchId, Placement, PlacementRequest};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use store::rows::Rows;
@@ -76,16 +76,20 @@
     }
 
     /// Chooses an upstream that has not been tried yet.
-    pub(crate) fn choose(&self) -> Option<Chosen> {
+    pub(crate) fn choose(&self) -> Option<Placement> {
         let progress = self.progress();
-        let need = Need { service: &self.request.service, prompt: self.prompt(), avoid: &progress.excluded };
+        let need = PlacementRequest {
+            service: &self.request.service,
+            prompt: self.prompt(),
+            avoid: &progress.excluded,
+        };
         self.node.places().choose(&need, self.node.now())
     }
 
     /// The properties of the prompt that the choice of an upstream depends on.
-    fn prompt(&self) -> Option<place::Prompt<'_>> {
+    fn prompt(&self) -> Option<placement::Prompt<'_>> {
         let route = &self.request.route;
-        self.request.ask.prompt.as_ref().map(|prompt| place::Prompt {
+        self.request.ask.prompt.as_ref().map(|prompt| placement::Prompt {
             parts: &prompt.parts,
             input: prompt.input,
             events: prompt.expected_output().div_ceil(self.stride().max(1)),
@@ -141,14 +145,14 @@
 
 impl<W: Wire, S: Rows> OpenGuard<W, S> {
     fn new(node: &Arc<Node<W, S>>) -> OpenGuard<W, S> {
-        node.open.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        node.open_requests.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         OpenGuard(node.clone())
     }
 }
 
 impl<W: Wire, S: Rows> Drop for OpenGuard<W, S> {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
     }
 }
 
@@ -157,14 +161,14 @@
     node: Arc<Node<W, S>>,
     pub upstream: String,
     pub dispatched: Millis,
-    ticket: Ticket,
+    ticket: DispatchId,
     is_prompt_read: bool,
 }
 
 impl<W: Wire, S: Rows> UpstreamSlot<W, S> {
     /// Returns `None` if the upstream accepts no more requests now, because others were dispatched since it
     /// was chosen.
-    pub(crate) fn take(job: &Job<W, S>, chosen: &Chosen) -> Option<UpstreamSlot<W, S>> {
+    pub(crate) fn take(job: &Job<W, S>, chosen: &Placement) -> Option<UpstreamSlot<W, S>> {
         let node = job.node.clone();
         let now = node.now();
         let mut places = node.places();
@@ -182,10 +186,10 @@
         })
     }
 
-    /// Records that the upstream has read the prompt, as its first answer shows.
+    /// Records that the upstream has record_first_answer the prompt, as its first answer shows.
     pub(crate) fn mark_prompt_read(&mut self) {
         if !std::mem::replace(&mut self.is_prompt_read, true) {
-            self.node.places().read(&self.upstream, self.ticket, self.node.now());
+            self.node.places().record_first_answer(&self.upstream, self.ticket, self.node.now());
         }
     }
 }
@@ -205,14 +209,14 @@
 
 impl<'a, W: Wire, S: Rows> OverdueGuard<'a, W, S> {
     pub(crate) fn new(node: &'a Node<W, S>, upstream: &'a str) -> OverdueGuard<'a, W, S> {
-        node.places().overdue(upstream, true);
+        node.places().record_overdue(upstream, true);
         OverdueGuard { node, upstream }
     }
 }
 
 impl<W: Wire, S: Rows> Drop for OverdueGuard<'_, W, S> {
     fn drop(&mut self) {
-        self.node.places().overdue(self.upstream, false);
+        self.node.places().record_overdue(self.upstream, false);
     }
 }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of requests that terminate the upstreams which run them. They are found by broken runs,
 //! reported to the other gateways, and kept in the store.
 //!
-//! [`route::word`] decides which gateways are told of what. Denials are sent to all gateways and written to a
+//! [`route::notice`] decides which gateways are told of what. Denials are sent to all gateways and written to a
 //! table. Each gateway reads the table when it starts, when another one's heartbeat names a newer version,
 //! and periodically while any request is denied.
 
@@ -9,10 +9,10 @@
 use crate::job::{Admitted, Job};
 use crate::node::Node;
 use crate::ports::Wire;
-use net::{Reach, exec};
+use net::{ProbeResult, exec};
 use route::Millis;
-use route::quarantine::{DENIED_MS, Fingerprint, GATHER_MS, Stage, Upstreams, Verdict};
-use route::word::{Reaction, Word};
+use route::notice::{FollowUp, Notice};
+use route::quarantine::{DECISION_DELAY_MS, DENIAL_DURATION_MS, Fingerprint, Stage, Upstreams, Verdict};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -90,10 +90,10 @@
             return;
         }
         let fingerprint = self.request.fingerprint();
-        let word = self.node.quarantine().outlived(fingerprint);
+        let word = self.node.quarantine().record_survival(fingerprint);
         if let Some(word) = word {
             log::info!("quarantine: event=cleared fingerprint={fingerprint} request={}", self.request.ask.id);
-            self.node.hints.warn(word, self.node.now());
+            self.node.hints.announce_quarantine(word, self.node.now());
         }
     }
 
@@ -161,46 +161,46 @@
     exec::sleep(PROBE_DELAY).await;
     let reach = net::probe(address, PROBE_TIMEOUT).await;
     let LostRun { upstream, request, fingerprint, begun_ms } = &lost;
-    let is_leaving = node.places().leaves(upstream);
+    let is_leaving = node.places().is_leaving(upstream);
     log::warn!(
         "upstream: event=run-lost upstream={upstream} address={} request={request} fingerprint={fingerprint} begun-ms={begun_ms:?} leaving={is_leaving}",
         reach.name()
     );
-    if reach != Reach::Refuses {
+    if reach != ProbeResult::Refuses {
         return;
     }
     node.metrics.runs_lost.inc();
     // A leaving upstream terminates on its own.
     let Some(stage) = Stage::of(*begun_ms).filter(|_| !is_leaving) else { return };
-    let reaction = node.quarantine().observe(*fingerprint, upstream, stage, node.now());
+    let reaction = node.quarantine().observe_crash(*fingerprint, upstream, stage, node.now());
     react(&node, reaction);
 }
 
 /// Tells the other gateways what they need to know, and schedules the decision on a suspect if it is due.
-fn react<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, reaction: Reaction) {
-    if let Some(word) = reaction.tell {
-        if let Word::Suspect { fingerprint, ends } = &word {
+fn react<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, reaction: FollowUp) {
+    if let Some(word) = reaction.notice {
+        if let Notice::Suspect { fingerprint, ends } = &word {
             let names: Vec<&str> = ends.iter().map(|end| end.upstream.as_str()).collect();
             let (ended, names) = (ends.len(), names.join(","));
             log::warn!("quarantine: event=suspect fingerprint={fingerprint} ended={ended} upstreams={names}");
         }
-        node.hints.warn(word, node.now());
+        node.hints.announce_quarantine(word, node.now());
     }
-    if reaction.is_due {
+    if reaction.is_decision_due {
         exec::spawn(decide(node.clone())).detach();
     }
 }
 
 /// Decides on suspects once the reports of the other gateways have had time to arrive.
 async fn decide<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
-    exec::sleep(Duration::from_millis(GATHER_MS)).await;
+    exec::sleep(Duration::from_millis(DECISION_DELAY_MS)).await;
     let denied: Vec<Decision> = {
         let (mut quarantine, now) = (node.quarantine(), node.now());
         let requests = quarantine.decide(now);
         let decision = |fingerprint| Decision {
             fingerprint,
-            upstreams: quarantine.denial(fingerprint).unwrap_or_default(),
-            is_own: quarantine.is_own(fingerprint),
+            upstreams: quarantine.denied_upstreams(fingerprint).unwrap_or_default(),
+            is_own: quarantine.is_firsthand(fingerprint),
         };
         requests.into_iter().map(decision).collect()
     };
@@ -227,19 +227,19 @@
     if let Err(error) = read(&node).await {
         log::warn!("quarantine: event=not-read {error}");
     }
-    if node.quarantine().denial(fingerprint).is_some() {
+    if node.quarantine().denied_upstreams(fingerprint).is_some() {
         announce(node, fingerprint, upstreams).await;
     }
 }
 
 /// Tells all gateways that a request is denied, and writes the denial to the store.
 async fn announce<W: Wire, S: Rows>(node: Arc<Node<W, S>>, fingerprint: Fingerprint, upstreams: Upstreams) {
-    let word = Word::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIED_MS };
-    node.hints.warn(word, node.now());
-    while node.quarantine().denial(fingerprint).is_some() {
-        match denials::keep(&node.rows, fingerprint, &upstreams).await {
+    let word = Notice::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIAL_DURATION_MS };
+    node.hints.announce_quarantine(word, node.now());
+    while node.quarantine().denied_upstreams(fingerprint).is_some() {
+        match denials::insert(&node.rows, fingerprint, &upstreams).await {
             Ok(()) => {
-                node.quarantine_grew.notify(usize::MAX);
+                node.quarantine_changed.notify(usize::MAX);
                 return;
             }
             Err(error) => log::warn!("quarantine: event=not-kept fingerprint={fingerprint} {error}"),
@@ -249,11 +249,11 @@
 }
 
 /// Handles a message of another gateway.
-pub(crate) fn hear<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, word: &Word) {
-    if let Word::Denied { fingerprint, upstreams, lasts_ms } = word {
+pub(crate) fn hear<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, word: &Notice) {
+    if let Notice::Denied { fingerprint, upstreams, lasts_ms } = word {
         return deny(node, *fingerprint, upstreams, *lasts_ms, "gateway");
     }
-    let reaction = node.quarantine().hear(word, node.now());
+    let reaction = node.quarantine().apply(word, node.now());
     react(node, reaction);
 }
 
@@ -272,16 +272,16 @@
 }
 
 fn update_gauge<W: Wire, S: Rows>(node: &Node<W, S>) {
-    node.metrics.quarantined.set(node.quarantine().denied() as i64);
+    node.metrics.quarantined.set(node.quarantine().denied_count() as i64);
 }
 
 /// Reads the denied requests when the gateway starts, when another gateway has read a newer version of the
 /// table, and periodically while any request is denied, since operators may lift denials.
 pub(crate) async fn run<W: Wire, S: Rows>(node: Arc<Node<W, S>>) {
     loop {
-        let more = node.quarantine_grew.listen();
+        let more = node.quarantine_changed.listen();
         let pause = match read(&node).await {
-            Ok(()) if node.quarantine().denied() == 0 => {
+            Ok(()) if node.quarantine().denied_count() == 0 => {
                 more.await;
                 continue;
             }
@@ -320,6 +320,6 @@
 /// version triggers a single read: the row of that version may have been deleted since.
 pub(crate) fn observe_version<W: Wire, S: Rows>(node: &Node<W, S>, version: u64) {
     if version > node.quarantine_version.fetch_max(version, Ordering::Relaxed) {
-        node.quarantine_grew.notify(usize::MAX);
+        node.quarantine_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -4,7 +4,7 @@
 use http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{Response, StatusCode};
 use hyper::body::Bytes;
-use route::quarantine::GATHER_MS;
+use route::quarantine::DECISION_DELAY_MS;
 
 /// Why the gateway answers a request itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -102,7 +102,7 @@
             Refusal::BudgetUnavailable(millis)
             | Refusal::BudgetHeldElsewhere(millis)
             | Refusal::UpstreamsUnavailable(millis) => Some(millis),
-            Refusal::QuarantinePending => Some(2 * GATHER_MS),
+            Refusal::QuarantinePending => Some(2 * DECISION_DELAY_MS),
             Refusal::NotConfigured => Some(500),
             Refusal::ManifestChanging => Some(500),
             Refusal::Stopping => Some(50),
--- a/crates/gateway/src/counted.rs
+++ b/crates/gateway/src/store_metrics.rs
@@ -1,23 +1,23 @@
-//! The store with every call counted and timed, and with the bytes of its rows.
+//! Metrics of the calls to the store: their number, their time, and the bytes of the rows.
 
 use crate::metrics::Metrics;
 use prometheus::{Histogram, IntCounterVec};
 use std::time::Instant;
-use store::rows::{Change, Commit, Feed, Page, Progress, Rows, Since};
+use store::rows::{Change, Commit, Feed, FeedQuery, Page, Progress, Rows};
 use store::{Error, Fault};
 
-/// A store whose calls are counted.
+/// A store that updates the metrics with each call.
 #[derive(Clone, Debug)]
-pub(crate) struct Counted<S> {
+pub(crate) struct MeteredRows<S> {
     rows: S,
     calls: IntCounterVec,
     bytes: IntCounterVec,
     seconds: Histogram,
 }
 
-impl<S: Rows> Counted<S> {
-    pub(crate) fn new(rows: S, metrics: &Metrics) -> Counted<S> {
-        Counted {
+impl<S: Rows> MeteredRows<S> {
+    pub(crate) fn new(rows: S, metrics: &Metrics) -> MeteredRows<S> {
+        MeteredRows {
             rows,
             calls: metrics.store_calls.clone(),
             bytes: metrics.store_bytes.clone(),
@@ -34,17 +34,18 @@
         self.calls.with_label_values(&[step, table, outcome]).inc();
     }
 
-    /// Counts the keys and values of rows, as they are before the store's encoding.
+    /// Counts the bytes of the keys and values of rows, before the store encodes them.
     fn count_bytes(&self, step: &str, table: &str, bytes: usize) {
         self.bytes.with_label_values(&[step, table]).inc_by(bytes as u64);
     }
 }
 
+/// The bytes of the keys and values of a page.
 fn page_bytes(page: &Page) -> usize {
     page.records.iter().map(|row| row.name.len() + row.value.as_ref().map_or(0, Vec::len)).sum()
 }
 
-impl<S: Rows> Rows for Counted<S> {
+impl<S: Rows> Rows for MeteredRows<S> {
     async fn commit(&self, change: &Change) -> Result<Commit, Error> {
         let began = Instant::now();
         let result = self.rows.commit(change).await;
@@ -69,7 +70,7 @@
         result
     }
 
-    async fn feed(&self, table: &str, since: Since) -> Result<Feed, Error> {
+    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
         let result = self.rows.feed(table, since).await;
         let bytes = match &result {
             Ok(Feed::Changes(page)) => page_bytes(page),
@@ -84,7 +85,7 @@
         result
     }
 
-    fn reporting(&self, progress: &Progress) -> Counted<S> {
-        Counted { rows: self.rows.reporting(progress), ..self.clone() }
+    fn with_progress(&self, progress: &Progress) -> MeteredRows<S> {
+        MeteredRows { rows: self.rows.with_progress(progress), ..self.clone() }
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Plumbing shared by every part: the thread pool, HTTP bodies, an HTTP client and an HTTP server.
+//! Networking and async runtime: the executor, HTTP clients and servers, a connection pool and a clock.
 //!
 //! ```
 //! net::exec::start(2);
@@ -19,5 +19,5 @@
 pub use client::{Answer, Client, Error, Fault};
 pub use clock::Clock;
 pub use pool::{Failure, Lease, Pool};
-pub use probe::{Reach, probe};
+pub use probe::{ProbeResult, probe};
 pub use server::{Handle, Limits, serve};
--- a/crates/net/src/probe.rs
+++ b/crates/net/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whether a process listens at an address.
+//! Checks whether a process listens at an address.
 
 use crate::exec;
 use smol::net::TcpStream;
@@ -6,33 +6,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a connection attempt says of its peer.
+/// The result of a connection attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reach {
+pub enum ProbeResult {
     /// A process accepts connections.
     Listens,
-    /// The host is there, and no process listens.
+    /// The host refused the connection: it is up, but no process listens.
     Refuses,
-    /// Nothing answered in time, or the host can't be reached: that says nothing of the process.
+    /// The attempt timed out or the host is unreachable, which says nothing about the process.
     Silent,
 }
 
-impl Reach {
-    /// The name in logs.
+impl ProbeResult {
+    /// The name used in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Reach::Listens => "listens",
-            Reach::Refuses => "refuses",
-            Reach::Silent => "silent",
+            ProbeResult::Listens => "listens",
+            ProbeResult::Refuses => "refuses",
+            ProbeResult::Silent => "silent",
         }
     }
 }
 
-/// Opens a connection to `peer` and closes it again, within `limit`.
-pub async fn probe(peer: SocketAddr, limit: Duration) -> Reach {
+/// Tries to connect to `peer` within `limit`, and closes the connection at once.
+pub async fn probe(peer: SocketAddr, limit: Duration) -> ProbeResult {
     match exec::timeout(limit, TcpStream::connect(peer)).await {
-        Some(Ok(_)) => Reach::Listens,
-        Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Reach::Refuses,
-        Some(Err(_)) | None => Reach::Silent,
+        Some(Ok(_)) => ProbeResult::Listens,
+        Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeResult::Refuses,
+        Some(Err(_)) | None => ProbeResult::Silent,
     }
 }
--- /dev/null
+++ b/crates/route/src/notice.rs
@@ -0,0 +1,204 @@
+//! Notices that routers exchange about requests which crash upstreams, and who receives them.
+
+use crate::Millis;
+use crate::quarantine::{Crashes, DENIAL_THRESHOLD, Fingerprint, Quarantine, Stage, Upstreams, Verdict};
+use serde::{Deserialize, Serialize};
+use std::cmp::Reverse;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+/// The number of routers that are told of a crash if not all of them are. With three, one learns of it even
+/// if another one is cut off and a message is lost.
+pub const COORDINATOR_COUNT: usize = 3;
+/// In a fleet of up to this many routers, all are told of each suspect that was unanswered at a crash. In a
+/// larger fleet of `n` routers, all are told of this many in `n` of these suspects.
+const FULL_BROADCAST_ROUTERS: u64 = 32;
+/// The rate at which each router receives notices about suspects that are sent to all routers.
+const BROADCASTS_PER_S: f64 = 20.0;
+/// The most such notices that a router may send at once: enough for the suspects of a few crashes.
+const BROADCAST_BURST: f64 = 8.0;
+/// The most upstreams in one notice, and the longest name of one, in bytes.
+const MAX_UPSTREAMS: usize = 8;
+const MAX_NAME_BYTES: usize = 120;
+
+/// What one router tells others about a request.
+#[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
+pub enum Notice {
+    /// The request was present at crashes.
+    Suspect {
+        /// The request.
+        fingerprint: Fingerprint,
+        /// All crashes that the sender knows of.
+        ends: Crashes,
+    },
+    /// The request is denied.
+    Denied {
+        /// The request.
+        fingerprint: Fingerprint,
+        /// Upstreams that crashed while they ran it.
+        upstreams: Upstreams,
+        /// How long the denial lasts, in milliseconds.
+        lasts_ms: Millis,
+    },
+    /// An upstream survived a run of the request.
+    Cleared {
+        /// The request.
+        fingerprint: Fingerprint,
+        /// The number of crashes that the sender held against it until then.
+        ends: usize,
+    },
+}
+
+/// The routers that receive a notice.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Recipients {
+    /// The [coordinators] of a fingerprint.
+    Coordinators(Fingerprint),
+    /// Every router.
+    All,
+}
+
+/// What to do after a crash was recorded or a notice applied.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct FollowUp {
+    /// The notice to send to other routers.
+    pub notice: Option<Notice>,
+    /// Whether to call [`Quarantine::decide`] after
+    /// [`DECISION_DELAY_MS`](crate::quarantine::DECISION_DELAY_MS).
+    pub is_decision_due: bool,
+}
+
+impl Notice {
+    /// Whether a router can have sent this notice. A message that was altered may hold anything.
+    pub fn is_valid(&self) -> bool {
+        let is_valid_name = |name: &str| name.len() <= MAX_NAME_BYTES;
+        match self {
+            Notice::Suspect { ends, .. } => {
+                ends.len() <= MAX_UPSTREAMS && ends.iter().all(|crash| is_valid_name(&crash.upstream))
+            }
+            Notice::Denied { upstreams, .. } => {
+                (DENIAL_THRESHOLD..=MAX_UPSTREAMS).contains(&upstreams.len())
+                    && upstreams.iter().all(|name| is_valid_name(name))
+            }
+            Notice::Cleared { .. } => true,
+        }
+    }
+}
+
+impl Quarantine {
+    /// Records a crash that this router observed itself.
+    pub fn observe_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        upstream: &str,
+        stage: Stage,
+        now: Millis,
+    ) -> FollowUp {
+        if !self.record_crash(fingerprint, upstream, stage, now) {
+            return FollowUp::default();
+        }
+        self.mark_firsthand(fingerprint);
+        self.follow_up(fingerprint, true, now)
+    }
+
+    /// Records that an upstream survived a run of a request that this router dispatched. Returns the notice
+    /// to send if the request was a suspect.
+    pub fn record_survival(&mut self, fingerprint: Fingerprint) -> Option<Notice> {
+        let ends = self.clear(fingerprint);
+        (ends > 0).then_some(Notice::Cleared { fingerprint, ends })
+    }
+
+    /// Applies a notice from another router.
+    pub fn apply(&mut self, notice: &Notice, now: Millis) -> FollowUp {
+        match notice {
+            Notice::Suspect { fingerprint, ends } => {
+                let known_before = self.crashes(*fingerprint).len();
+                for crash in ends {
+                    self.record_crash(*fingerprint, &crash.upstream, crash.stage, now);
+                }
+                let known_now = self.crashes(*fingerprint).len();
+                // A router that knows of more crashes than the notice names sends all of them. Otherwise the
+                // sender has already told those concerned.
+                if known_now > known_before {
+                    self.follow_up(*fingerprint, known_now > ends.len(), now)
+                } else {
+                    FollowUp::default()
+                }
+            }
+            Notice::Denied { fingerprint, upstreams, lasts_ms } => {
+                self.deny(*fingerprint, upstreams, *lasts_ms, now);
+                FollowUp::default()
+            }
+            Notice::Cleared { fingerprint, .. } => {
+                self.clear(*fingerprint);
+                FollowUp::default()
+            }
+        }
+    }
+
+    fn follow_up(&self, fingerprint: Fingerprint, has_news: bool, now: Millis) -> FollowUp {
+        let notice = Notice::Suspect { fingerprint, ends: self.crashes(fingerprint) };
+        let is_decision_due = self.verdict(fingerprint, now) == Verdict::Undecided;
+        FollowUp { notice: has_news.then_some(notice), is_decision_due }
+    }
+}
+
+/// Limits the notices that are sent to all routers.
+///
+/// All routers should know which requests were unanswered at a crash, since these share the blame for it. But
+/// if a large fleet loses many upstreams, each router would receive thousands of notices. So of the suspects
+/// with a single crash, only a sample is sent to all routers, a smaller part the larger the fleet, and the
+/// rest to a few routers. In addition, the rate of notices to all routers is fixed for the fleet as a whole.
+#[derive(Clone, Copy, Debug)]
+pub struct NoticeLimiter {
+    tokens: f64,
+    refilled: Millis,
+}
+
+impl Default for NoticeLimiter {
+    fn default() -> NoticeLimiter {
+        NoticeLimiter { tokens: BROADCAST_BURST, refilled: 0 }
+    }
+}
+
+impl NoticeLimiter {
+    /// The recipients of a notice in a fleet of `routers` routers.
+    pub fn recipients(&mut self, notice: &Notice, routers: usize, now: Millis) -> Recipients {
+        let is_sampled =
+            |fingerprint: &Fingerprint| fingerprint.seed() % (routers as u64).max(1) < FULL_BROADCAST_ROUTERS;
+        let (fingerprint, is_for_all) = match notice {
+            Notice::Denied { .. } => return Recipients::All,
+            Notice::Cleared { fingerprint, ends } => (fingerprint, *ends > 1),
+            Notice::Suspect { fingerprint, ends } => {
+                let is_silent = ends.iter().any(|crash| crash.stage == Stage::Silent);
+                (fingerprint, ends.len() > 1 || is_silent && is_sampled(fingerprint))
+            }
+        };
+        match is_for_all && self.take_token(routers, now) {
+            true => Recipients::All,
+            false => Recipients::Coordinators(*fingerprint),
+        }
+    }
+
+    fn take_token(&mut self, routers: usize, now: Millis) -> bool {
+        let per_ms = BROADCASTS_PER_S / 1_000.0 / routers.max(1) as f64;
+        let gained = per_ms * now.saturating_sub(self.refilled) as f64;
+        self.tokens = (self.tokens + gained).min(BROADCAST_BURST);
+        self.refilled = self.refilled.max(now);
+        let has_token = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(has_token));
+        has_token
+    }
+}
+
+/// The peers that coordinate the decision on a fingerprint, by rendezvous hashing: every router gets the same
+/// ones from the same names. Each peer comes with the name by which all routers know it.
+pub fn coordinators<P, N: AsRef<[u8]>>(
+    fingerprint: Fingerprint,
+    peers: impl IntoIterator<Item = (P, N)>,
+) -> Vec<P> {
+    let weight = |name: &N| xxh3_64_with_seed(name.as_ref(), fingerprint.seed());
+    let mut ranked: Vec<(Reverse<u64>, P)> =
+        peers.into_iter().map(|(peer, name)| (Reverse(weight(&name)), peer)).collect();
+    ranked.sort_by_key(|(weight, _)| *weight);
+    ranked.into_iter().map(|(_, peer)| peer).take(COORDINATOR_COUNT).collect()
+}
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,21 +1,21 @@
-//! One router: its state, and the tasks that run on it.
+//! The state of a router, and its start and stop.
 
 use crate::clock::Clock;
-use crate::flight::Flights;
 use crate::grants::Grants;
-use crate::keep::Keep;
-use crate::link::Hints;
+use crate::keep::AccountKeeping;
+use crate::link::RunHints;
 use crate::metrics::Metrics;
 use crate::ports::Ports;
 use crate::record::{Record, Records, Step};
 use crate::schedule::Schedule;
 use crate::settings::{Settings, millis};
-use crate::slot::Loans;
+use crate::shared_answer::SharedAnswers;
+use crate::slot::SlotLoans;
 use crate::{admin, front, leaving, link, membership, steer, sync};
 use async_channel::Sender;
 use bundle::{Bundle, Team};
 use net::{Handle, exec};
-use peer::{Beat, Peers, State, View};
+use peer::{FleetView, Heartbeat, MemberState, Peers};
 use std::collections::{HashMap, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -23,31 +23,32 @@
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Time for the balancer's and the peers' last calls after everything has ended, in milliseconds.
-const LAST_CALLS_MS: u64 = 50;
-/// How often a stopping router looks whether its requests have ended, in milliseconds.
-const DRAIN_LOOK_MS: u64 = 10;
+/// The time left for the last calls of the load balancer and the peers after all work has ended, in
+/// milliseconds.
+const FINAL_CALLS_MS: u64 = 50;
+/// The interval at which a stopping router checks whether its requests have ended, in milliseconds.
+const DRAIN_POLL_MS: u64 = 10;
 
-/// The bundle in force.
+/// The configuration bundle in force.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct InForce {
-    /// Its accepted sequence; 0 if there is none.
+pub(crate) struct ActiveBundle {
+    /// The accepted sequence number; 0 if no bundle is in force.
     pub sequence: u64,
-    /// The digest of its signed manifest.
+    /// The digest of the signed manifest.
     pub manifest: String,
-    /// The signed manifest and the sections by digest, for peers.
+    /// The signed manifest, the sections and the teams by digest, as served to peers.
     pub parts: HashMap<String, String>,
-    /// The teams by digest, so that unchanged ones are not read again.
+    /// The teams by digest, so that unchanged teams are not parsed again.
     pub teams: HashMap<String, Arc<Team>>,
-    /// What it says.
+    /// The parsed content.
     pub content: Bundle,
     /// The access keys by hash.
     pub keys: HashMap<String, Access>,
-    /// When it came into force, in milliseconds of the router's clock.
+    /// When the bundle came into force, in milliseconds of the router's clock.
     pub since: u64,
 }
 
-/// What an access key allows.
+/// The team and the budget of an access key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Access {
     pub team: String,
@@ -55,21 +56,21 @@
     pub budget: String,
 }
 
-/// Where a router is in its life.
+/// The phase of a router's life cycle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// It serves.
+    /// The router serves requests.
     Serving,
-    /// It is not ready any more, but still takes work until the balancer has noticed.
+    /// The router is no longer ready, but accepts requests until the load balancer has noticed.
     Leaving,
-    /// It takes no new work.
+    /// The router accepts no new requests.
     Draining,
 }
 
-/// One router.
+/// The state of a router, shared by its tasks.
 pub(crate) struct Node<W: Ports> {
     pub settings: Settings,
-    /// The VM with its incarnation.
+    /// The VM's name and its incarnation, as `name#incarnation`.
     pub holder: String,
     pub incarnation: u64,
     pub platform: W::Platform,
@@ -77,94 +78,94 @@
     pub clock: W::Clock,
     pub peers: Peers,
     pub grants: Grants,
-    pub flights: Flights,
-    pub hints: Hints,
+    pub shared_answers: SharedAnswers,
+    pub run_hints: RunHints,
     pub records: Records,
     pub schedule: Schedule<W::Clock>,
-    pub loans: Loans,
-    pub keep: Keep,
+    pub slot_loans: SlotLoans,
+    pub account_keeping: AccountKeeping,
     pub metrics: Metrics,
-    pub open: AtomicU64,
-    /// Claims of this router whose requests were certainly not dispatched, by request.
-    pub undispatched: Mutex<HashSet<String>>,
-    bundle: RwLock<Arc<InForce>>,
-    view: Mutex<View>,
+    pub open_requests: AtomicU64,
+    /// The ids of requests whose claims this router holds and that were certainly not dispatched.
+    pub undispatched_claims: Mutex<HashSet<String>>,
+    bundle: RwLock<Arc<ActiveBundle>>,
+    view: Mutex<FleetView>,
     phase: Mutex<Phase>,
     addresses: Mutex<Addresses>,
-    /// Held while a batch is on its way: batches of one account follow each other.
-    pub settling: smol::lock::Mutex<()>,
-    batch: AtomicU64,
-    kick: Sender<()>,
-    pub news: Sender<()>,
-    /// Asks for a look at the platform's list now.
-    pub look: Sender<()>,
+    /// Held while a batch is being settled: the batches of one account must not overlap.
+    pub settlement_lock: smol::lock::Mutex<()>,
+    last_batch: AtomicU64,
+    settle_now: Sender<()>,
+    pub heartbeat_now: Sender<()>,
+    /// Requests that the platform's VM list is read now.
+    pub list_now: Sender<()>,
     platform_up: AtomicBool,
-    /// Whether the upstreams of a bundle were asked for their load once.
-    pub surveyed: AtomicBool,
-    closed: AtomicBool,
+    /// Whether the upstreams of a bundle were asked for their load at least once.
+    pub has_read_loads: AtomicBool,
+    stopped: AtomicBool,
 }
 
-/// The addresses bound.
+/// The addresses that a router is bound to.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For peers.
+    /// The address for peers.
     pub peers: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
 }
 
 impl<W: Ports> Node<W> {
-    pub(crate) fn bundle(&self) -> Arc<InForce> {
-        self.bundle.read().expect("the bundle's lock").clone()
+    pub(crate) fn bundle(&self) -> Arc<ActiveBundle> {
+        self.bundle.read().expect("no thread panics while it holds the lock").clone()
     }
 
-    /// Puts a bundle in force, unless a later one is: never back to an older sequence.
-    pub(crate) fn put_in_force(&self, next: InForce) -> bool {
-        let mut current = self.bundle.write().expect("the bundle's lock");
+    /// Puts a bundle in force. Returns `false` if the current one has the same or a later sequence.
+    pub(crate) fn activate_bundle(&self, next: ActiveBundle) -> bool {
+        let mut current = self.bundle.write().expect("no thread panics while it holds the lock");
         if next.sequence <= current.sequence {
             return false;
         }
         self.metrics.sequence.set(next.sequence as i64);
         *current = Arc::new(next);
         drop(current);
-        self.share_out();
-        let _ = self.news.try_send(());
+        self.reassign_slots();
+        let _ = self.heartbeat_now.try_send(());
         true
     }
 
-    /// Computes this router's shares of the upstreams anew.
-    pub(crate) fn share_out(&self) {
+    /// Recomputes this router's slots at the upstreams.
+    pub(crate) fn reassign_slots(&self) {
         let bundle = self.bundle();
         self.schedule.configure(&bundle.content, &self.view(), &self.settings.name);
     }
 
-    pub(crate) fn view(&self) -> MutexGuard<'_, View> {
-        self.view.lock().expect("the view's lock")
+    pub(crate) fn view(&self) -> MutexGuard<'_, FleetView> {
+        self.view.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// How many routers draw on the budgets, this one included.
+    /// The number of routers that draw on the budgets, including this one.
     pub(crate) fn fleet_size(&self) -> u64 {
-        self.view().sharers().len() as u64
+        self.view().router_names().len() as u64
     }
 
     pub(crate) fn phase(&self) -> Phase {
-        *self.phase.lock().expect("the phase's lock")
+        *self.phase.lock().expect("no thread panics while it holds the lock")
     }
 
     pub(crate) fn addresses(&self) -> Addresses {
-        *self.addresses.lock().expect("the addresses' lock")
+        *self.addresses.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// The number of the next batch in this router's account.
+    /// Returns the number of the next batch in this router's account.
     pub(crate) fn next_batch(&self) -> u64 {
-        self.batch.fetch_add(1, Ordering::Relaxed) + 1
+        self.last_batch.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Asks for a settlement now.
-    pub(crate) fn kick(&self) {
-        let _ = self.kick.try_send(());
+    /// Requests a settlement now.
+    pub(crate) fn request_settlement(&self) {
+        let _ = self.settle_now.try_send(());
     }
 
     pub(crate) fn is_platform_up(&self) -> bool {
@@ -173,34 +174,34 @@
 
     pub(crate) fn set_platform_up(&self, up: bool) {
         if self.platform_up.swap(up, Ordering::Relaxed) != up {
-            log::info!("platform: {}", if up { "it answers again" } else { "it does not answer" });
+            log::info!("platform: {}", if up { "answers again" } else { "does not answer" });
         }
     }
 
-    pub(crate) fn count_platform(&self, step: &str, outcome: &str) {
+    pub(crate) fn count_platform_call(&self, step: &str, outcome: &str) {
         self.metrics.platform.with_label_values(&[step, outcome]).inc();
     }
 
-    pub(crate) fn is_closed(&self) -> bool {
-        self.closed.load(Ordering::Relaxed)
+    pub(crate) fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Takes no new work any more: another router closed this one's account.
-    pub(crate) fn fence(&self) {
-        *self.phase.lock().expect("the phase's lock") = Phase::Draining;
+    /// Stops accepting requests, because another router closed this router's account.
+    pub(crate) fn stop_accepting(&self) {
+        *self.phase.lock().expect("no thread panics while it holds the lock") = Phase::Draining;
     }
 
-    /// Notes what happened to a request.
-    pub(crate) fn note(&self, request: &str, what: impl Into<String>) {
+    /// Adds a step to a request's record.
+    pub(crate) fn record_step(&self, request: &str, what: impl Into<String>) {
         let step = Step { at: self.clock.now(), what: what.into() };
-        self.records.note(request, |record: &mut Record| record.steps.push(step));
+        self.records.update(request, |record: &mut Record| record.steps.push(step));
     }
 
-    /// This router's heartbeat.
-    pub(crate) fn beat(&self) -> Beat {
+    /// Returns this router's heartbeat.
+    pub(crate) fn heartbeat(&self) -> Heartbeat {
         let bundle = self.bundle();
         let addresses = self.addresses();
-        Beat {
+        Heartbeat {
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
             address: self.settings.listen.advertise_peers.unwrap_or(addresses.peers),
@@ -213,11 +214,11 @@
         }
     }
 
-    /// The addresses of the peers that are thought to be alive.
-    pub(crate) fn alive(&self) -> Vec<(String, SocketAddr)> {
+    /// The names and addresses of the peers that are considered alive.
+    pub(crate) fn alive_peers(&self) -> Vec<(String, SocketAddr)> {
         let now = self.clock.now();
         let view = self.view();
-        view.members(State::Alive, now).map(|member| (member.name.clone(), member.address)).collect()
+        view.members(MemberState::Alive, now).map(|member| (member.name.clone(), member.address)).collect()
     }
 }
 
@@ -227,7 +228,7 @@
     }
 }
 
-/// A router that has been started.
+/// A running router.
 #[derive(Debug)]
 pub struct Running<W: Ports> {
     node: Arc<Node<W>>,
@@ -235,10 +236,10 @@
     operators: Handle,
 }
 
-/// Starts a router on its ports.
+/// Starts a router with the given adapters.
 ///
 /// # Errors
-/// Fails if an address can't be bound.
+/// Returns an error if an address can't be bound or the settings hold no valid fleet key.
 pub async fn start<W: Ports>(
     settings: Settings,
     platform: W::Platform,
@@ -248,11 +249,11 @@
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64);
     let keys = settings.keys();
     let Some(key) = keys.first().cloned() else {
-        return Err(io::Error::other("no fleet key in the settings"));
+        return Err(io::Error::other("the settings contain no valid fleet key"));
     };
-    let (kick, kicked) = async_channel::bounded(1);
-    let (news, heard) = async_channel::bounded(1);
-    let (look, looked) = async_channel::bounded(1);
+    let (settle_now, settle_requested) = async_channel::bounded(1);
+    let (heartbeat_now, heartbeat_requested) = async_channel::bounded(1);
+    let (list_now, list_requested) = async_channel::bounded(1);
     let limits = settings.limits.clone();
     let addresses = Addresses {
         callers: settings.listen.callers,
@@ -266,32 +267,32 @@
         engine,
         peers: Peers::new(key, millis(limits.peer_ms)),
         grants: Grants::new(&format!("{}#{incarnation}", settings.name)),
-        flights: Flights::new(limits.answer_ms),
-        hints: Hints::default(),
+        shared_answers: SharedAnswers::new(limits.answer_ms),
+        run_hints: RunHints::default(),
         records: Records::new(limits.records),
         schedule: Schedule::new(&settings.data_centre, clock.clone()),
-        loans: Loans::default(),
-        keep: Keep::default(),
+        slot_loans: SlotLoans::default(),
+        account_keeping: AccountKeeping::default(),
         metrics: Metrics::new(),
-        open: AtomicU64::new(0),
-        undispatched: Mutex::default(),
+        open_requests: AtomicU64::new(0),
+        undispatched_claims: Mutex::default(),
         bundle: RwLock::default(),
-        view: Mutex::new(View::new(&settings.name)),
+        view: Mutex::new(FleetView::new(&settings.name)),
         phase: Mutex::new(Phase::Serving),
         addresses: Mutex::new(addresses),
-        settling: smol::lock::Mutex::new(()),
-        batch: AtomicU64::new(0),
-        kick,
-        news,
-        look,
+        settlement_lock: smol::lock::Mutex::new(()),
+        last_batch: AtomicU64::new(0),
+        settle_now,
+        heartbeat_now,
+        list_now,
         platform_up: AtomicBool::new(true),
-        surveyed: AtomicBool::new(false),
-        closed: AtomicBool::new(false),
+        has_read_loads: AtomicBool::new(false),
+        stopped: AtomicBool::new(false),
         clock,
         settings,
     });
 
-    let peers = peer::listen(addresses.peers, keys, link::Service(node.clone())).await?;
+    let peers = peer::listen(addresses.peers, keys, link::PeerService(node.clone())).await?;
     let shared = node.clone();
     let operators = net::serve(addresses.operators, net::Limits::default(), move |request| {
         admin::answer(shared.clone(), request)
@@ -305,16 +306,16 @@
     };
     let callers =
         net::serve(addresses.callers, bounds, move |request| front::answer(shared.clone(), request)).await?;
-    *node.addresses.lock().expect("the addresses' lock") =
+    *node.addresses.lock().expect("no thread panics while it holds the lock") =
         Addresses { callers: callers.address(), peers, operators: operators.address() };
 
     exec::spawn(steer::run(node.clone())).detach();
-    exec::spawn(membership::run(node.clone(), heard)).detach();
-    exec::spawn(leaving::run(node.clone(), looked)).detach();
-    exec::spawn(sync::run(node.clone(), kicked)).detach();
+    exec::spawn(membership::run(node.clone(), heartbeat_requested)).detach();
+    exec::spawn(leaving::run(node.clone(), list_requested)).detach();
+    exec::spawn(sync::run(node.clone(), settle_requested)).detach();
     let bound = node.addresses();
     log::info!(
-        "node: {} serves callers on {}, peers on {}, operators on {}",
+        "node: {} listens for callers on {}, peers on {}, operators on {}",
         node.holder,
         bound.callers,
         bound.peers,
@@ -324,36 +325,39 @@
 }
 
 impl<W: Ports> Running<W> {
-    /// The addresses bound.
+    /// The addresses that the router is bound to.
     pub fn addresses(&self) -> Addresses {
         self.node.addresses()
     }
 
-    /// Stops without cutting off a request: not ready at once, no new work after the balancer's delay, every
-    /// open answer finished, unused tokens given back.
+    /// Stops the router without aborting requests. It reports not ready at once, refuses new requests after
+    /// the load balancer's delay, completes open answers, and then returns its unused tokens.
     pub async fn stop(self) {
         let node = &self.node;
-        log::info!("node: stopping, not ready from now on");
+        log::info!("node: stopping; no longer ready");
         self.set_phase(Phase::Leaving);
         exec::sleep(millis(node.settings.limits.stop_delay_ms)).await;
         self.set_phase(Phase::Draining);
-        let _ = node.news.try_send(());
-        log::info!("node: takes no new work, {} requests are open", node.open.load(Ordering::Relaxed));
-        while node.open.load(Ordering::Relaxed) > 0 {
-            exec::sleep(millis(DRAIN_LOOK_MS)).await;
+        let _ = node.heartbeat_now.try_send(());
+        log::info!(
+            "node: accepts no new requests; {} requests are open",
+            node.open_requests.load(Ordering::Relaxed)
+        );
+        while node.open_requests.load(Ordering::Relaxed) > 0 {
+            exec::sleep(millis(DRAIN_POLL_MS)).await;
         }
         self.callers.stop();
-        while self.callers.open() > 0 {
-            exec::sleep(millis(DRAIN_LOOK_MS)).await;
+        while self.callers.open_connections() > 0 {
+            exec::sleep(millis(DRAIN_POLL_MS)).await;
         }
-        node.closed.store(true, Ordering::Relaxed);
+        node.stopped.store(true, Ordering::Relaxed);
         while sync::settle(node, node.clock.now(), 1, true).await {}
-        exec::sleep(millis(LAST_CALLS_MS)).await;
+        exec::sleep(millis(FINAL_CALLS_MS)).await;
         self.operators.stop();
-        log::info!("node: stopped, every token is settled or given back");
+        log::info!("node: stopped; all tokens are settled or returned");
     }
 
     fn set_phase(&self, phase: Phase) {
-        *self.node.phase.lock().expect("the phase's lock") = phase;
+        *self.node.phase.lock().expect("no thread panics while it holds the lock") = phase;
     }
 }
--- a/crates/router/src/sync.rs
+++ b/crates/router/src/sync.rs
@@ -1,13 +1,14 @@
-//! Settling with the platform: one transaction for many budgets, repeated until its outcome is known.
+//! Settlement with the platform: one transaction for many budgets, repeated until its outcome is known.
 //!
-//! The batch has a number in this router's account row. Every attempt is conditional on that row, so at most
-//! one attempt takes effect, however many answers are lost; reading the row back tells which.
+//! Each batch has a sequence number, which is stored in this router's account row. All attempts are
+//! conditional on that row, so at most one takes effect even if answers are lost. Reading the row back shows
+//! whether one did.
 
 use crate::clock::Clock;
 use crate::node::Node;
 use crate::ports::Ports;
 use crate::settings::millis;
-use budget::ledger::{Account, Batch, Error as PostError, KeyRef, Pool, post};
+use budget::ledger::{Account, Batch, ChargeIdentity, Error as PostError, Pool, post};
 use net::exec;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -15,19 +16,19 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use store::{Error, Fault, Row, Table, Tx, Verdict};
+use store::{Error, Fault, Row, Table, Tx, TxOutcome};
 
-/// Settlements a second that all routers together may ask of the platform.
-const FLEET_RATE: u64 = 280;
-/// The pause after a failed attempt, at first and at most, in milliseconds.
+/// The maximum number of settlements per second of all routers together.
+const FLEET_SETTLEMENTS_PER_S: u64 = 280;
+/// The first and the longest bound of the random pause after a failed attempt, in milliseconds.
 const BACKOFF_MS: (u64, u64) = (20, 1_000);
 
 /// The row that makes a charge of a keyed request unique (I2).
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct Charged {
-    /// The request that charged.
+pub(crate) struct ChargeRow {
+    /// The id of the request that was charged.
     pub request: String,
-    /// Tokens.
+    /// The tokens charged.
     pub tokens: u64,
 }
 
@@ -41,33 +42,34 @@
     format!("account/{holder}")
 }
 
-/// The key of a row for a request identity; the caller's text is hashed.
+/// The key of a row for an idempotency key, which is hashed.
 pub(crate) fn identity_key(table: &str, budget: &str, key: &str) -> String {
     format!("{table}/{budget}/{}", hex::encode(Sha256::digest(key.as_bytes())))
 }
 
-/// How one attempt ended.
+/// The outcome of an attempt.
 enum Attempt {
-    /// The batch is in the account; these are the pools after it, where they are known.
+    /// The batch has taken effect. The pools are those read or written by the last attempt.
     Posted(Account, BTreeMap<String, Pool>),
-    /// Another writer was faster.
+    /// Another writer changed a row in the meantime.
     Conflict,
-    /// The platform failed; whether it wrote is seen by reading back.
+    /// A call to the platform failed. The next attempt finds out whether the write took effect.
     Failed(Error),
 }
 
-/// Runs settlements until the node has stopped.
-pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, kicked: async_channel::Receiver<()>) {
+/// Settles at regular intervals, or when requested, until the router has stopped.
+pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: async_channel::Receiver<()>) {
     let mut last = node.clock.now();
-    while !node.is_closed() {
+    while !node.is_stopped() {
         let fleet = node.fleet_size();
-        let period = Duration::from_millis(node.settings.limits.sync_ms.max(fleet * 1_000 / FLEET_RATE));
-        let spacing = Duration::from_millis(fleet * 500 / FLEET_RATE);
-        if !node.grants.is_short(node.clock.now()) {
-            let kick = async {
-                let _ = kicked.recv().await;
+        let period =
+            Duration::from_millis(node.settings.limits.sync_ms.max(fleet * 1_000 / FLEET_SETTLEMENTS_PER_S));
+        let spacing = Duration::from_millis(fleet * 500 / FLEET_SETTLEMENTS_PER_S);
+        if !node.grants.needs_settlement(node.clock.now()) {
+            let request = async {
+                let _ = requested.recv().await;
             };
-            smol::future::or(kick, exec::sleep(period)).await;
+            smol::future::or(request, exec::sleep(period)).await;
         }
         let now = node.clock.now();
         settle(&node, now, now - last, false).await;
@@ -76,37 +78,37 @@
     }
 }
 
-/// Settles everything that is dirty in one batch; `false` if there was nothing.
+/// Settles one batch of the budgets that need it. Returns `false` if none does.
 pub(crate) async fn settle<W: Ports>(node: &Node<W>, now: u64, elapsed_ms: u64, close: bool) -> bool {
-    let _settling = node.settling.lock().await;
-    // After the last settlement nothing may be drawn again.
-    if node.is_closed() && !close {
+    let _settling = node.settlement_lock.lock().await;
+    // No tokens may be drawn after the last settlement.
+    if node.is_stopped() && !close {
         return false;
     }
     let bundle = node.bundle();
-    let entries = node.grants.open(&bundle.content, now, elapsed_ms, close);
+    let entries = node.grants.open_entries(&bundle.content, now, elapsed_ms, close);
     if entries.is_empty() {
         return false;
     }
     let sequence = node.next_batch();
-    let batch = Batch { sequence, entries, keeper: node.keep.choose(node) };
+    let batch = Batch { sequence, entries, keeper: node.account_keeping.choose_keeper(node) };
     let mut pause = BACKOFF_MS.0;
     loop {
         match attempt(node, &batch).await {
             Attempt::Posted(account, pools) => {
                 for budget in batch.entries.keys() {
                     let line = account.lines.get(budget).copied().unwrap_or_default();
-                    node.grants.close(budget, &line, pools.get(budget), node.clock.now());
+                    node.grants.close_entry(budget, &line, pools.get(budget), node.clock.now());
                 }
                 node.set_platform_up(true);
-                node.keep.settled(node, &batch.keeper, account.closed).await;
+                node.account_keeping.record_settlement(node, &batch.keeper, account.closed).await;
                 return true;
             }
-            Attempt::Conflict => node.count_platform("settle", "conflict"),
+            Attempt::Conflict => node.count_platform_call("settle", "conflict"),
             Attempt::Failed(error) => {
                 node.set_platform_up(false);
-                node.count_platform("settle", "failed");
-                log::warn!("settle: batch {sequence} waits: {error}");
+                node.count_platform_call("settle", "failed");
+                log::warn!("settle: batch {sequence} failed and is retried: {error}");
                 pause = (pause * 2).min(BACKOFF_MS.1);
             }
         }
@@ -133,68 +135,72 @@
         Ok(rows) => rows,
         Err(error) => return Attempt::Failed(error),
     };
-    let read: BTreeMap<&str, &Row> =
+    let current: BTreeMap<&str, &Row> =
         keys.iter().zip(&rows).filter_map(|(key, row)| row.as_ref().map(|row| (key.as_str(), row))).collect();
-    let mut account: Account = match decode(&read, &account_key) {
+    let mut account: Account = match decode(&current, &account_key) {
         Ok(account) => account,
         Err(error) => return Attempt::Failed(error),
     };
     let mut pools = BTreeMap::new();
     for budget in batch.entries.keys() {
-        match decode::<Pool>(&read, &pool_key(budget)) {
+        match decode::<Pool>(&current, &pool_key(budget)) {
             Ok(pool) => pools.insert(budget.clone(), pool),
             Err(error) => return Attempt::Failed(error),
         };
     }
-    let charged = |identity: &KeyRef<'_>| {
+    let charged = |identity: &ChargeIdentity<'_>| {
         let key = identity_key("charge", identity.budget, identity.key);
-        let row = read.get(key.as_str()).and_then(|row| row.decode::<Charged>().ok());
+        let row = current.get(key.as_str()).and_then(|row| row.decode::<ChargeRow>().ok());
         row.is_some_and(|row| row.request != identity.request)
     };
     match post(&mut account, &mut pools, &charged, batch, node.fleet_size()) {
         Ok(()) => {}
-        // An earlier attempt took effect and its answer was lost.
-        Err(PostError::Posted(_)) => return Attempt::Posted(account, pools),
-        Err(error) => return Attempt::Failed(refused(error.to_string())),
+        // An earlier attempt took effect, but its answer was lost.
+        Err(PostError::AlreadyPosted(_)) => return Attempt::Posted(account, pools),
+        Err(error) => return Attempt::Failed(settle_error(error.to_string())),
     }
 
     let mut tx = Tx::default();
-    tx = tx.unchanged(&account_key, read.get(account_key.as_str()).copied()).put(&account_key, &account);
+    tx = tx
+        .require_unchanged(&account_key, current.get(account_key.as_str()).copied())
+        .put(&account_key, &account);
     for (budget, pool) in &pools {
         let key = pool_key(budget);
-        tx = tx.unchanged(&key, read.get(key.as_str()).copied()).put(&key, pool);
+        tx = tx.require_unchanged(&key, current.get(key.as_str()).copied()).put(&key, pool);
     }
     for (budget, entry) in &batch.entries {
         for charge in &entry.charges {
             let Some(text) = &charge.key else { continue };
             let key = identity_key("charge", budget, text);
-            let row = Charged { request: charge.request.clone(), tokens: charge.tokens };
-            tx = match read.get(key.as_str()) {
-                Some(_) => tx.unchanged(&key, read.get(key.as_str()).copied()),
-                None => tx.absent(&key).put(&key, &row),
+            let row = ChargeRow { request: charge.request.clone(), tokens: charge.tokens };
+            tx = match current.get(key.as_str()) {
+                Some(_) => tx.require_unchanged(&key, current.get(key.as_str()).copied()),
+                None => tx.require_absent(&key).put(&key, &row),
             };
         }
     }
     match node.platform.commit(&tx).await {
-        Ok(Verdict::Applied) => {
-            node.count_platform("settle", "applied");
+        Ok(TxOutcome::Applied) => {
+            node.count_platform_call("settle", "applied");
             Attempt::Posted(account, pools)
         }
-        Ok(Verdict::Conflict) => Attempt::Conflict,
+        Ok(TxOutcome::Conflict) => Attempt::Conflict,
         Err(error) => Attempt::Failed(error),
     }
 }
 
 fn decode<T: Default + serde::de::DeserializeOwned>(
-    read: &BTreeMap<&str, &Row>,
+    current: &BTreeMap<&str, &Row>,
     key: &str,
 ) -> Result<T, Error> {
-    match read.get(key) {
+    match current.get(key) {
         None => Ok(T::default()),
-        Some(row) => row.decode().map_err(|error| refused(format!("row {key} is not understood: {error}"))),
+        Some(row) => {
+            row.decode().map_err(|error| settle_error(format!("row {key} can't be decoded: {error}")))
+        }
     }
 }
 
-fn refused(reason: String) -> Error {
+fn settle_error(reason: String) -> Error {
     Error { step: "settle", peer: "table".to_owned(), fault: Fault::NotApplied, reason }
 }
--- a/crates/yaml/src/lib.rs
+++ b/crates/yaml/src/lib.rs
@@ -1,16 +1,16 @@
-//! Reading YAML with every mistake at once, each with its line and key path.
+//! Parses YAML and reports all errors at once, each with its line and key path.
 //!
 //! ```
 //! let text = "port: no\nnode:\n  nane: x\n";
 //! #[derive(Debug, Default, serde::Deserialize)]
 //! struct Node { name: Option<String> }
-//! let mistakes = yaml::read(text, |reader, mut root| {
+//! let errors = yaml::read(text, |reader, mut root| {
 //!     reader.take::<u16>(&mut root, "port");
 //!     reader.take::<Node>(&mut root, "node");
 //! })
 //! .unwrap_err();
-//! assert_eq!(mistakes[0].line, 1);
-//! assert_eq!(mistakes[1].to_string(), "line 3: node.nane: unknown key");
+//! assert_eq!(errors[0].line, 1);
+//! assert_eq!(errors[1].to_string(), "line 3: node.nane: unknown key");
 //! ```
 
 use marked_yaml::Node;
@@ -18,54 +18,54 @@
 use serde_yaml_ng::{Mapping, Value};
 use std::collections::BTreeMap;
 
-/// One mistake in a YAML text.
+/// An error in a YAML text.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, thiserror::Error)]
 #[error("line {line}: {path}: {reason}")]
-pub struct Mistake {
-    /// The line, from 1; 0 if the place is not in the text.
+pub struct ConfigError {
+    /// The line, starting at 1; 0 if it is unknown.
     pub line: usize,
-    /// The key path, joined by dots.
+    /// The key path, separated by dots.
     pub path: String,
-    /// What is wrong, and what is allowed.
+    /// The error, and the allowed values.
     pub reason: String,
 }
 
-/// Reads `text` with `build`, which takes the root mapping apart.
+/// Parses `text` and passes the root mapping to `build`, which reads the values.
 ///
 /// # Errors
-/// Returns every mistake, in the order of the lines.
-pub fn read<T>(text: &str, build: impl FnOnce(&mut Reader, Mapping) -> T) -> Result<T, Vec<Mistake>> {
+/// Returns all errors, sorted by line.
+pub fn read<T>(text: &str, build: impl FnOnce(&mut Reader, Mapping) -> T) -> Result<T, Vec<ConfigError>> {
     let root: Value = match serde_yaml_ng::from_str(text) {
         Ok(value) => value,
         Err(error) => {
             let line = error.location().map_or(0, |location| location.line());
-            return Err(vec![Mistake { line, path: "(file)".to_owned(), reason: error.to_string() }]);
+            return Err(vec![ConfigError { line, path: "(file)".to_owned(), reason: error.to_string() }]);
         }
     };
     let Value::Mapping(root) = root else {
         let reason = "must be a mapping".to_owned();
-        return Err(vec![Mistake { line: 1, path: "(file)".to_owned(), reason }]);
+        return Err(vec![ConfigError { line: 1, path: "(file)".to_owned(), reason }]);
     };
-    let mut reader = Reader { mistakes: vec![] };
+    let mut reader = Reader { errors: vec![] };
     let built = build(&mut reader, root);
-    if reader.mistakes.is_empty() {
+    if reader.errors.is_empty() {
         return Ok(built);
     }
     let marked = marked_yaml::parse_yaml(0, text).ok();
-    let mut mistakes: Vec<Mistake> = reader
-        .mistakes
+    let mut errors: Vec<ConfigError> = reader
+        .errors
         .into_iter()
-        .map(|(path, reason)| Mistake {
+        .map(|(path, reason)| ConfigError {
             line: marked.as_ref().map_or(0, |root| line_of(root, &path)),
             path: path.join("."),
             reason,
         })
         .collect();
-    mistakes.sort();
-    Err(mistakes)
+    errors.sort();
+    Err(errors)
 }
 
-/// The line of the deepest part of `path` that the text has.
+/// Returns the line of the deepest part of `path` that exists in the text.
 fn line_of(root: &Node, path: &[String]) -> usize {
     let start = |node: &Node| node.span().start().map_or(0, |marker| marker.line());
     let mut node = root;
@@ -91,79 +91,81 @@
     line
 }
 
-/// Collects mistakes while a text is taken apart.
+/// Reads values from a YAML mapping and collects the errors.
 #[derive(Debug)]
 pub struct Reader {
-    mistakes: Vec<(Vec<String>, String)>,
+    errors: Vec<(Vec<String>, String)>,
 }
 
 impl Reader {
-    /// Notes a mistake.
+    /// Adds an error.
     pub fn add(&mut self, path: &[&str], reason: impl Into<String>) {
-        self.mistakes.push((path.iter().map(|part| (*part).to_owned()).collect(), reason.into()));
+        self.errors.push((path.iter().map(|part| (*part).to_owned()).collect(), reason.into()));
     }
 
-    /// Whether no mistake was found yet.
+    /// Whether no error has been found so far.
     pub fn is_clean(&self) -> bool {
-        self.mistakes.is_empty()
+        self.errors.is_empty()
     }
 
-    /// Takes the value of `key` out of the root and reads it; `None` if it is absent or wrong.
+    /// Removes the value of `key` from the root and parses it; returns `None` if it is absent or invalid.
     pub fn take<T: DeserializeOwned>(&mut self, root: &mut Mapping, key: &str) -> Option<T> {
         let value = root.remove(key)?;
-        self.entry(&[key], value)
+        self.parse_entry(&[key], value)
     }
 
-    /// As [`Reader::take`], but absence is a mistake.
-    pub fn need<T: DeserializeOwned>(&mut self, root: &mut Mapping, key: &str) -> Option<T> {
+    /// Like [`Reader::take`], but adds an error if the key is absent.
+    pub fn require<T: DeserializeOwned>(&mut self, root: &mut Mapping, key: &str) -> Option<T> {
         if !root.contains_key(key) {
             self.add(&[key], "is missing");
         }
         self.take(root, key)
     }
 
-    /// Takes a mapping from names to `T` out of the root, entry by entry.
+    /// Removes a mapping from names to `T` from the root and parses its entries. Entries that can't be parsed
+    /// are left out.
     pub fn take_entries<T: DeserializeOwned>(
         &mut self,
         root: &mut Mapping,
         key: &str,
     ) -> BTreeMap<String, T> {
-        root.remove(key).map(|value| self.entries(key, value)).unwrap_or_default()
+        root.remove(key).map(|value| self.parse_entries(key, value)).unwrap_or_default()
     }
 
-    /// Reports what was not taken out of the root.
+    /// Adds an error for each key that is left in the root. `allowed` lists the allowed keys for the message.
     pub fn finish(&mut self, root: &Mapping, allowed: &str) {
         for key in root.keys() {
             self.add(&[key.as_str().unwrap_or("?")], format!("unknown key; allowed: {allowed}"));
         }
     }
 
-    fn entries<T: DeserializeOwned>(&mut self, section: &str, value: Value) -> BTreeMap<String, T> {
+    fn parse_entries<T: DeserializeOwned>(&mut self, section: &str, value: Value) -> BTreeMap<String, T> {
         let Value::Mapping(mapping) = value else {
-            self.add(&[section], "must be a mapping from names");
+            self.add(&[section], "must be a mapping with names as keys");
             return BTreeMap::new();
         };
         let mut entries = BTreeMap::new();
         for (name, value) in mapping {
             let Some(name) = name.as_str() else {
-                self.add(&[section], "names must be texts");
+                self.add(&[section], "names must be strings");
                 continue;
             };
             if !is_name(name) {
                 self.add(&[section, name], "a name has 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'");
             }
-            if let Some(entry) = self.entry(&[section, name], value) {
+            if let Some(entry) = self.parse_entry(&[section, name], value) {
                 entries.insert(name.to_owned(), entry);
             }
         }
         entries
     }
 
-    fn entry<T: DeserializeOwned>(&mut self, path: &[&str], value: Value) -> Option<T> {
+    fn parse_entry<T: DeserializeOwned>(&mut self, path: &[&str], value: Value) -> Option<T> {
         let mut unknown = vec![];
         let mut track = serde_path_to_error::Track::new();
-        let tracked = serde_path_to_error::Deserializer::new(value, &mut track);
-        let result: Result<T, _> = serde_ignored::deserialize(tracked, |key| unknown.push(key.to_string()));
+        let deserializer = serde_path_to_error::Deserializer::new(value, &mut track);
+        let result: Result<T, _> =
+            serde_ignored::deserialize(deserializer, |key| unknown.push(key.to_string()));
         for key in unknown {
             let mut path = path.to_vec();
             path.extend(key.split('.'));
@@ -182,7 +184,7 @@
     }
 }
 
-/// Whether a text may name a team, an upstream, a model or a VM.
+/// Whether `name` is a valid name of a team, an upstream, a model or a VM.
 pub fn is_name(name: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     (1..=64).contains(&name.len()) && name.bytes().all(allowed)
--- a/src/cmd/ctl/quarantine.rs
+++ b/src/cmd/ctl/quarantine.rs
@@ -2,13 +2,13 @@
 
 use super::Error;
 use crate::cmd::read_gateway_settings;
-use gateway::denials::{self, Denial, Which};
+use gateway::denials::{self, Denial, Selector};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 
 /// The arguments of `quarantine list`.
 #[derive(Clone, Debug)]
-pub struct Denied {
+pub struct ListDenials {
     /// A gateway's settings file.
     pub settings: PathBuf,
     /// Prints JSON.
@@ -17,15 +17,15 @@
 
 /// The arguments of `quarantine lift`.
 #[derive(Clone, Debug)]
-pub struct Lift {
+pub struct LiftDenials {
     /// A fingerprint, or `all`.
     pub which: String,
     /// A gateway's settings file.
     pub settings: PathBuf,
 }
 
-impl Denied {
-    /// Lists the requests that are denied since upstreams ended under them.
+impl ListDenials {
+    /// Lists the requests that are denied because upstreams crashed while running them.
     ///
     /// # Errors
     /// Fails if the store can't be read.
@@ -38,35 +38,37 @@
     }
 }
 
-impl Lift {
-    /// Lifts denials: gateways let the requests run again within seconds.
+impl LiftDenials {
+    /// Lifts denials. The gateways allow the requests again within seconds.
     ///
     /// # Errors
-    /// Fails if the fingerprint is none, nothing of that name is denied, or the store can't be read or written.
+    /// Fails if the fingerprint is malformed, the request is not denied, or the store can't be read or
+    /// written.
     pub fn execute(&self) -> Result<(), Error> {
         let which = match self.which.as_str() {
-            "all" => Which::All,
-            text => Which::One(
-                text.parse().map_err(|error| Error::Mistakes(format!("{error}; say `all` for all")))?,
+            "all" => Selector::All,
+            text => Selector::One(
+                text.parse()
+                    .map_err(|error| Error::Invalid(format!("{error}; use `all` to lift all denials")))?,
             ),
         };
         let rows = rows(&self.settings)?;
         let lifted = net::exec::block_on(denials::lift(&rows, which))?;
-        if lifted.is_empty() && which != Which::All {
-            return Err(Error::Mistakes(format!("{} is not denied", self.which)));
+        if lifted.is_empty() && which != Selector::All {
+            return Err(Error::Invalid(format!("{} is not denied", self.which)));
         }
         lifted.iter().for_each(|denial| println!("lifted {}", denial.fingerprint));
         Ok(())
     }
 }
 
-fn rows(settings: &Path) -> Result<::platform::Http, Error> {
-    Ok(::platform::Http::new(read_gateway_settings(settings)?.store))
+fn rows(settings: &Path) -> Result<::platform::HttpRows, Error> {
+    Ok(::platform::HttpRows::new(read_gateway_settings(settings)?.store))
 }
 
 fn as_text(denial: &Denial) -> String {
     let Denial { fingerprint, upstreams, left_ms, .. } = denial;
-    format!("{fingerprint}: ended {}; denied for {} s more", upstreams.join(", "), left_ms / 1_000)
+    format!("{fingerprint}: crashed {}; denied for another {} s", upstreams.join(", "), left_ms / 1_000)
 }
 
 fn as_json(denial: &Denial) -> String {
