--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,17 +3,17 @@
 //! The engine model follows what the users' pages say of their engines; nothing of it is known to the routers, which
 //! run the same code as in the programs.
 
-mod deadly;
 mod engine;
+mod harmful;
 mod load;
 mod outcome;
-mod scenes;
-mod warming;
-mod world;
+mod restart;
+mod scenarios;
+mod simulation;
 
 pub use engine::{Counts, Engine, Happened, Job, Part, Spec};
 pub use load::{Kind, Request, Shared, Size};
 pub use outcome::{Deadly, Outcome, Share, Signals};
-pub use scenes::{plains, reports, storms};
-pub use warming::{Bound, Received, Return, play_return};
-pub use world::{Fault, Scene, play};
+pub use restart::{Bound, Received, Return, play_return};
+pub use scenarios::{plains, reports, storms};
+pub use simulation::{Fault, Scene, play};
--- a/crates/emulator/src/scenes.rs
+++ b/crates/emulator/src/scenarios.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::Spec;
 use crate::load::{Kind, Shared, Size};
-use crate::world::Scene;
+use crate::simulation::Scene;
 use route::HintFilter;
 
 /// Long reports and short captions on twelve engines, a third of them slower: long reads hold up all streams.
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,7 +1,7 @@
 //! Callers, routers with private views, and engines in virtual time.
 
-use crate::deadly::{self, Message, Watch};
 use crate::engine::{Engine, Happened, Job, Spec};
+use crate::harmful::{self, Message, Watch};
 use crate::load::{Kind, Request};
 use crate::outcome::Outcome;
 use rand::rngs::SmallRng;
@@ -280,7 +280,7 @@
         let need = PlacementRequest { service: SERVICE, prompt: None, avoid: &[] };
         let Some(chosen) = self.routers[router].choose(&need, self.now as Millis) else { return };
         let engine = self.names.iter().position(|name| *name == chosen.upstream).unwrap_or(0);
-        self.push(self.now + deadly::BEGINS_MS, Event::BeginDeadly { router, engine });
+        self.push(self.now + harmful::BEGINS_MS, Event::BeginDeadly { router, engine });
     }
 
     /// Ends an engine: it leaves the list, and what ran there is tried again.
@@ -288,8 +288,8 @@
         if self.engines[engine].is_dead {
             return;
         }
-        let lost = deadly::crash(&mut self.engines[engine]);
-        self.push(self.now + deadly::DOWN_MS, Event::Return { engine });
+        let lost = harmful::crash(&mut self.engines[engine]);
+        self.push(self.now + harmful::DOWN_MS, Event::Return { engine });
         for router in &mut self.routers {
             router.remove(&self.names[engine]);
         }
--- a/examples/bench/policy/mod.rs
+++ b/examples/bench/policy/mod.rs
@@ -3,10 +3,10 @@
 
 mod engine;
 mod plot;
-mod score;
-mod world;
+mod simulation;
+mod stats;
 
-use world::{Class, Mix, Outcome, Policy, Scene, simulate};
+use simulation::{Class, Mix, Outcome, Policy, Scene, simulate};
 
 /// Loads as a share of what the engines can do.
 const LOADS: [f64; 4] = [0.5, 0.9, 1.3, 3.0];
--- a/examples/bench/policy/plot.rs
+++ b/examples/bench/policy/plot.rs
@@ -1,6 +1,6 @@
 //! Goodput over load, as a picture for the page.
 
-use super::world::Policy;
+use super::simulation::Policy;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::error::Error;
--- a/examples/bench/policy/world.rs
+++ b/examples/bench/policy/simulation.rs
@@ -1,7 +1,7 @@
 //! Callers, routers and engines in virtual time.
 
 use super::engine::{Engine, Run, SLOTS, Times, service_ms};
-use super::score::{at, fairness, percent};
+use super::stats::{at, fairness, percent};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use route::{
