--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -5,29 +5,29 @@
 
 /// What an engine is built of.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct EngineSpec {
     /// Runs in a batch.
     pub slots: usize,
     /// Requests that may wait beside them.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Milliseconds of a step.
-    pub step_ms: f64,
+    pub base_step_ms: f64,
     /// Milliseconds that each run adds to a step.
-    pub run_ms: f64,
+    pub step_ms_per_run: f64,
     /// Milliseconds that each thousand tokens of the runs' memory add to a step.
-    pub context_ms: f64,
+    pub step_ms_per_1k_context: f64,
     /// Prompt tokens read in a millisecond.
-    pub read_rate: f64,
+    pub read_tokens_per_ms: f64,
     /// Milliseconds for a million pairs of a token that is read and one before it.
-    pub pairs_ms: f64,
+    pub step_ms_per_m_pairs: f64,
     /// Prompt tokens read in one step at most.
-    pub chunk: u64,
+    pub max_read_tokens: u64,
     /// Milliseconds between the end of reading and the first event.
-    pub first_ms: f64,
+    pub first_event_delay_ms: f64,
     /// Tokens in an event.
-    pub stride: u64,
+    pub tokens_per_event: u64,
     /// Tokens that fit into memory.
-    pub memory: u64,
+    pub memory_tokens: u64,
 }
 
 /// A part of a prompt.
@@ -45,65 +45,65 @@
     /// The caller's number of it.
     pub id: usize,
     /// Its rank, 0 first.
-    pub rank: u32,
+    pub priority: u32,
     /// The parts of its prompt.
     pub parts: Vec<Part>,
     /// Tokens that come out.
-    pub output: u64,
+    pub output_tokens: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Run {
     job: Job,
-    input: u64,
+    input_tokens: u64,
     /// Prompt tokens in memory so far.
-    read: u64,
-    made: u64,
+    read_tokens: u64,
+    generated: u64,
     /// When its first event may come, in milliseconds.
-    ready: f64,
+    first_event_at: f64,
     /// Whether its first event came.
     has_begun: bool,
 }
 
 /// What a step brought.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happened {
+pub enum StepEvent {
     /// The first event of a job.
     First(usize),
     /// A further event.
-    Event(usize),
+    Next(usize),
     /// The last event of a job.
-    End(usize),
+    Last(usize),
 }
 
 /// Counts of what an engine did.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct EngineCounters {
     /// Prompt tokens read.
-    pub read: u64,
+    pub read_tokens: u64,
     /// Runs that lost their memory to others.
-    pub preempted: u64,
+    pub preemptions: u64,
 }
 
 /// A part in the cache.
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u64,
-    used: f64,
+    last_used: f64,
 }
 
 /// An engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    spec: Spec,
+    spec: EngineSpec,
     /// How many times slower than its specification it is.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Whether it answers nothing.
-    pub is_dead: bool,
+    pub is_down: bool,
     runs: Vec<Run>,
     waiting: VecDeque<Job>,
-    cache: HashMap<u64, Kept>,
-    counts: Counts,
+    cache: HashMap<u64, CachedPart>,
+    counters: EngineCounters,
     /// The step that is under way: its number, and tokens that it reads by run.
     step: u64,
     is_stepping: bool,
@@ -111,27 +111,27 @@
 
 impl Engine {
     /// An idle engine.
-    pub fn new(spec: Spec, slow: f64) -> Engine {
+    pub fn new(spec: EngineSpec, slowdown: f64) -> Engine {
         Engine {
             spec,
-            slow,
-            is_dead: false,
+            slowdown,
+            is_down: false,
             runs: vec![],
             waiting: VecDeque::new(),
             cache: HashMap::new(),
-            counts: Counts::default(),
+            counters: EngineCounters::default(),
             step: 0,
             is_stepping: false,
         }
     }
 
     /// What it read.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> EngineCounters {
+        self.counters
     }
 
     /// Jobs that run.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.runs.len()
     }
 
@@ -141,11 +141,12 @@
             self.start(job, now);
             return true;
         }
-        if self.waiting.len() >= self.spec.queue {
+        if self.waiting.len() >= self.spec.queue_capacity {
             return false;
         }
-        let place = self.waiting.iter().position(|other| other.rank > job.rank).unwrap_or(self.waiting.len());
-        self.waiting.insert(place, job);
+        let position =
+            self.waiting.iter().position(|other| other.priority > job.priority).unwrap_or(self.waiting.len());
+        self.waiting.insert(position, job);
         true
     }
 
@@ -166,145 +167,155 @@
     }
 
     /// Begins a step, if there is work and none is under way: its number and its end in milliseconds.
-    pub fn begin(&mut self, now: f64) -> Option<(u64, f64)> {
-        if self.is_stepping || self.is_dead || self.runs.is_empty() {
+    pub fn begin_step(&mut self, now: f64) -> Option<(u64, f64)> {
+        if self.is_stepping || self.is_down || self.runs.is_empty() {
             return None;
         }
         self.is_stepping = true;
         self.step += 1;
-        let read = self.plan();
-        let pairs: f64 = read
+        let reads = self.plan_reads();
+        let pairs: f64 = reads
             .iter()
-            .map(|(index, tokens)| *tokens as f64 * (self.runs[*index].read as f64 + *tokens as f64 / 2.0))
+            .map(|(index, tokens)| {
+                *tokens as f64 * (self.runs[*index].read_tokens as f64 + *tokens as f64 / 2.0)
+            })
             .sum();
-        let tokens: u64 = read.iter().map(|(_, tokens)| tokens).sum();
-        let context: u64 = self.runs.iter().map(|run| run.read + run.made).sum();
+        let tokens: u64 = reads.iter().map(|(_, tokens)| tokens).sum();
+        let context: u64 = self.runs.iter().map(|run| run.read_tokens + run.generated).sum();
         let spec = &self.spec;
-        let ms = spec.step_ms
-            + spec.run_ms * self.runs.len() as f64
-            + spec.context_ms * context as f64 / 1e3
-            + tokens as f64 / spec.read_rate
-            + spec.pairs_ms * pairs / 1e6;
-        Some((self.step, now + ms * self.slow))
+        let ms = spec.base_step_ms
+            + spec.step_ms_per_run * self.runs.len() as f64
+            + spec.step_ms_per_1k_context * context as f64 / 1e3
+            + tokens as f64 / spec.read_tokens_per_ms
+            + spec.step_ms_per_m_pairs * pairs / 1e6;
+        Some((self.step, now + ms * self.slowdown))
     }
 
     /// The prompt tokens that the next step reads, by run: prompts are read in the order in which they came.
-    fn plan(&self) -> Vec<(usize, u64)> {
-        let mut left = self.spec.chunk;
+    fn plan_reads(&self) -> Vec<(usize, u64)> {
+        let mut remaining = self.spec.max_read_tokens;
         let mut plan = vec![];
         for (index, run) in self.runs.iter().enumerate() {
-            let tokens = (run.input - run.read).min(left);
+            let tokens = (run.input_tokens - run.read_tokens).min(remaining);
             if tokens > 0 {
                 plan.push((index, tokens));
-                left -= tokens;
+                remaining -= tokens;
             }
         }
         plan
     }
 
     /// Ends a step; what it brought.
-    pub fn end(&mut self, step: u64, now: f64) -> Vec<Happened> {
+    pub fn end_step(&mut self, step: u64, now: f64) -> Vec<StepEvent> {
         if step != self.step || !self.is_stepping {
             return vec![];
         }
         self.is_stepping = false;
-        let was_reading: Vec<bool> = self.runs.iter().map(|run| run.read < run.input).collect();
-        for (index, tokens) in self.plan() {
+        let was_reading: Vec<bool> = self.runs.iter().map(|run| run.read_tokens < run.input_tokens).collect();
+        for (index, tokens) in self.plan_reads() {
             let run = &mut self.runs[index];
-            run.read += tokens;
-            self.counts.read += tokens;
-            if run.read == run.input {
-                run.ready = now + self.spec.first_ms;
+            run.read_tokens += tokens;
+            self.counters.read_tokens += tokens;
+            if run.read_tokens == run.input_tokens {
+                run.first_event_at = now + self.spec.first_event_delay_ms;
             }
         }
-        let mut happened = vec![];
+        let mut events = vec![];
         for (run, was_reading) in self.runs.iter_mut().zip(was_reading) {
             if !was_reading {
-                happened.extend(advance(run, self.spec.stride, now));
+                events.extend(advance(run, self.spec.tokens_per_event, now));
             }
         }
-        let ended: Vec<usize> = happened
+        let completed: Vec<usize> = events
             .iter()
-            .filter_map(|happened| if let Happened::End(id) = happened { Some(*id) } else { None })
+            .filter_map(|event| if let StepEvent::Last(id) = event { Some(*id) } else { None })
             .collect();
-        for id in ended {
-            self.finish(id, now);
+        for id in completed {
+            self.complete(id, now);
         }
-        self.make_room();
+        self.free_memory();
         while self.runs.len() < self.spec.slots
             && let Some(job) = self.waiting.pop_front()
         {
             self.start(job, now);
         }
-        happened
+        events
     }
 
     fn start(&mut self, job: Job, now: f64) {
-        let input = job.parts.iter().map(|part| part.tokens).sum();
-        let cached = self.cached(&job.parts, now);
+        let input_tokens = job.parts.iter().map(|part| part.tokens).sum();
+        let cached = self.touch_cached(&job.parts, now);
         // At least one token is read, so that there is a first answer.
-        let read = cached.min(input - 1);
-        self.runs.push(Run { job, input, read, made: 0, ready: f64::INFINITY, has_begun: false });
+        let read_tokens = cached.min(input_tokens - 1);
+        self.runs.push(Run {
+            job,
+            input_tokens,
+            read_tokens,
+            generated: 0,
+            first_event_at: f64::INFINITY,
+            has_begun: false,
+        });
     }
 
     /// The parts of a prompt that would have to be read.
-    pub fn unread<'a>(&self, parts: &'a [Part]) -> &'a [Part] {
-        let kept = parts.iter().take_while(|part| self.cache.contains_key(&part.id)).count();
-        &parts[kept..]
+    pub fn uncached_parts<'a>(&self, parts: &'a [Part]) -> &'a [Part] {
+        let cached = parts.iter().take_while(|part| self.cache.contains_key(&part.id)).count();
+        &parts[cached..]
     }
 
     /// Prompt tokens that are kept: a part counts only if all parts before it are kept.
-    fn cached(&mut self, parts: &[Part], now: f64) -> u64 {
+    fn touch_cached(&mut self, parts: &[Part], now: f64) -> u64 {
         let mut tokens = 0;
         for part in parts {
-            let Some(kept) = self.cache.get_mut(&part.id) else { break };
-            kept.used = now;
+            let Some(cached) = self.cache.get_mut(&part.id) else { break };
+            cached.last_used = now;
             tokens += part.tokens;
         }
         tokens
     }
 
-    fn finish(&mut self, id: usize, now: f64) {
+    fn complete(&mut self, id: usize, now: f64) {
         let Some(index) = self.runs.iter().position(|run| run.job.id == id) else { return };
         let run = self.runs.remove(index);
         for part in &run.job.parts {
-            self.cache.insert(part.id, Kept { tokens: part.tokens, used: now });
+            self.cache.insert(part.id, CachedPart { tokens: part.tokens, last_used: now });
         }
     }
 
     /// Drops the parts that were unused the longest, then preempts, until all fits.
-    fn make_room(&mut self) {
-        let running: u64 = self.runs.iter().map(|run| run.read + run.made).sum();
-        let mut kept: u64 = self.cache.values().map(|kept| kept.tokens).sum();
-        while running + kept > self.spec.memory && kept > 0 {
-            let oldest = self.cache.iter().min_by(|left, right| left.1.used.total_cmp(&right.1.used));
+    fn free_memory(&mut self) {
+        let running: u64 = self.runs.iter().map(|run| run.read_tokens + run.generated).sum();
+        let mut cached: u64 = self.cache.values().map(|cached| cached.tokens).sum();
+        while running + cached > self.spec.memory_tokens && cached > 0 {
+            let oldest =
+                self.cache.iter().min_by(|left, right| left.1.last_used.total_cmp(&right.1.last_used));
             let Some(id) = oldest.map(|(id, _)| *id) else { break };
-            kept -= self.cache.remove(&id).map_or(0, |kept| kept.tokens);
+            cached -= self.cache.remove(&id).map_or(0, |cached| cached.tokens);
         }
         let mut running = running;
-        while running > self.spec.memory && self.runs.len() > 1 {
-            let newest = self.runs.iter().enumerate().max_by_key(|(index, run)| (run.job.rank, *index));
+        while running > self.spec.memory_tokens && self.runs.len() > 1 {
+            let newest = self.runs.iter().enumerate().max_by_key(|(index, run)| (run.job.priority, *index));
             let Some((index, _)) = newest else { break };
             let run = self.runs.remove(index);
-            running -= run.read + run.made;
-            self.counts.preempted += 1;
+            running -= run.read_tokens + run.generated;
+            self.counters.preemptions += 1;
             self.waiting.push_front(run.job);
         }
     }
 }
 
 /// Makes a token, unless the first one is not ready.
-fn advance(run: &mut Run, stride: u64, now: f64) -> Option<Happened> {
-    if now < run.ready {
+fn advance(run: &mut Run, tokens_per_event: u64, now: f64) -> Option<StepEvent> {
+    if now < run.first_event_at {
         return None;
     }
-    run.made += 1;
-    if run.made >= run.job.output {
-        return Some(Happened::End(run.job.id));
+    run.generated += 1;
+    if run.generated >= run.job.output_tokens {
+        return Some(StepEvent::Last(run.job.id));
     }
     if !run.has_begun {
         run.has_begun = true;
-        return Some(Happened::First(run.job.id));
+        return Some(StepEvent::First(run.job.id));
     }
-    run.made.is_multiple_of(stride).then_some(Happened::Event(run.job.id))
+    run.generated.is_multiple_of(tokens_per_event).then_some(StepEvent::Next(run.job.id))
 }
--- a/crates/emulator/src/harmful.rs
+++ b/crates/emulator/src/harmful.rs
@@ -1,7 +1,7 @@
 //! Requests that end their engines, engines that end by themselves, and what routers make of both.
 
 use crate::engine::Engine;
-use crate::outcome::Deadly;
+use crate::outcome::HarmfulOutcome;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use route::Millis;
@@ -9,36 +9,36 @@
 use route::quarantine::{DECISION_DELAY_MS, DENIAL_THRESHOLD, Fingerprint, Quarantine, Stage, Verdict};
 
 /// The request that ends its engines.
-const DEADLY: u64 = u64::MAX;
+const HARMFUL: u64 = u64::MAX;
 /// How long an engine is down, in milliseconds.
-pub(crate) const DOWN_MS: f64 = 3_000.0;
+pub(crate) const DOWNTIME_MS: f64 = 3_000.0;
 /// From a dispatch until the engine ends that begins to run it, in milliseconds.
-pub(crate) const BEGINS_MS: f64 = 60.0;
+pub(crate) const CRASH_DELAY_MS: f64 = 60.0;
 /// Messages between routers that are lost.
-const LOSS: f64 = 0.03;
+const LOSS_RATE: f64 = 0.03;
 /// When each word is sent, in milliseconds after the first time.
-const SENDS_MS: [f64; 3] = [0.0, 50.0, 750.0];
+const SEND_DELAYS_MS: [f64; 3] = [0.0, 50.0, 750.0];
 /// The time within which all routers know what one knows, in milliseconds.
-const CONTACT_MS: f64 = 3_000.0;
+const PROPAGATION_MS: f64 = 3_000.0;
 
 /// What a router is to take in later.
-pub(crate) struct Message {
+pub(crate) struct RouterEvent {
     pub(crate) at: f64,
     pub(crate) router: usize,
     /// Another one's word; `None` if its own time to decide has come.
-    pub(crate) word: Option<Notice>,
+    pub(crate) notice: Option<Notice>,
 }
 
 /// What the routers know, and what came of it.
-pub(crate) struct Watch {
+pub(crate) struct QuarantineSimulation {
     quarantines: Vec<Quarantine>,
-    bounds: Vec<NoticeLimiter>,
+    limiters: Vec<NoticeLimiter>,
     names: Vec<String>,
     /// How often each engine ended: another life of it has another name.
-    lives: Vec<u32>,
+    crash_counts: Vec<u32>,
     /// When the third engine ended.
-    third: Option<f64>,
-    pub(crate) outcome: Deadly,
+    threshold_crash: Option<f64>,
+    pub(crate) outcome: HarmfulOutcome,
 }
 
 fn fingerprint(number: u64) -> Fingerprint {
@@ -48,22 +48,22 @@
     Fingerprint::new(digest)
 }
 
-impl Watch {
-    pub(crate) fn new(routers: usize, engines: usize) -> Watch {
-        Watch {
+impl QuarantineSimulation {
+    pub(crate) fn new(routers: usize, engines: usize) -> QuarantineSimulation {
+        QuarantineSimulation {
             quarantines: vec![Quarantine::default(); routers],
-            bounds: vec![NoticeLimiter::default(); routers],
+            limiters: vec![NoticeLimiter::default(); routers],
             names: (0..routers).map(|router| format!("router-{router}")).collect(),
-            lives: vec![0; engines],
-            third: None,
-            outcome: Deadly::default(),
+            crash_counts: vec![0; engines],
+            threshold_crash: None,
+            outcome: HarmfulOutcome::default(),
         }
     }
 
     /// Whether a router lets a deadly request run.
-    pub(crate) fn admits_deadly(&mut self, router: usize, now: f64) -> bool {
-        self.outcome.came += 1;
-        let verdict = self.quarantines[router].verdict(fingerprint(DEADLY), now as Millis);
+    pub(crate) fn admits_harmful(&mut self, router: usize, now: f64) -> bool {
+        self.outcome.received += 1;
+        let verdict = self.quarantines[router].verdict(fingerprint(HARMFUL), now as Millis);
         let is_admitted = !matches!(verdict, Verdict::Denied | Verdict::Undecided);
         self.outcome.denied += u64::from(!is_admitted);
         is_admitted
@@ -76,140 +76,143 @@
         }
         let is_denied =
             self.quarantines[router].verdict(fingerprint(number), now as Millis) == Verdict::Denied;
-        self.outcome.innocent += u64::from(is_denied);
+        self.outcome.others_denied += u64::from(is_denied);
         !is_denied
     }
 
     /// Takes in that an engine outlived a request.
-    pub(crate) fn outlived(
+    pub(crate) fn record_survival(
         &mut self,
         router: usize,
         number: u64,
         now: f64,
         random: &mut SmallRng,
-    ) -> Vec<Message> {
-        let mut messages = vec![];
+    ) -> Vec<RouterEvent> {
+        let mut events = vec![];
         if self.quarantines[router].is_empty() {
-            return messages;
+            return events;
         }
-        if let Some(word) = self.quarantines[router].record_survival(fingerprint(number)) {
-            self.tell(router, &word, now, random, &mut messages);
+        if let Some(notice) = self.quarantines[router].record_survival(fingerprint(number)) {
+            self.send_notice(router, &notice, now, random, &mut events);
         }
-        messages
+        events
     }
 
     /// Ends an engine under the deadly request of a router, or by itself, with the runs of others there: their routers, numbers and the
     /// time since their first answers. What the routers say then.
-    pub(crate) fn end(
+    pub(crate) fn record_crash(
         &mut self,
         engine: usize,
-        of: Option<usize>,
-        beside: &[(usize, u64, Option<Millis>)],
+        cause: Option<usize>,
+        bystanders: &[(usize, u64, Option<Millis>)],
         now: f64,
         random: &mut SmallRng,
-    ) -> Vec<Message> {
-        let upstream = format!("engine-{engine}.{}", self.lives[engine]);
-        self.lives[engine] += 1;
-        if of.is_some() {
-            self.outcome.ended += 1;
-            if self.outcome.ended == DENIAL_THRESHOLD as u64 {
-                self.third = Some(now);
+    ) -> Vec<RouterEvent> {
+        let upstream = format!("engine-{engine}.{}", self.crash_counts[engine]);
+        self.crash_counts[engine] += 1;
+        if cause.is_some() {
+            self.outcome.crashed += 1;
+            if self.outcome.crashed == DENIAL_THRESHOLD as u64 {
+                self.threshold_crash = Some(now);
             }
-            let is_late = self.third.is_some_and(|third| now > third + CONTACT_MS);
-            self.outcome.ended_late += u64::from(is_late);
+            let is_late = self.threshold_crash.is_some_and(|at| now > at + PROPAGATION_MS);
+            self.outcome.crashed_late += u64::from(is_late);
         }
-        let mut messages = vec![];
-        let deadly = of.map(|router| (router, DEADLY, None));
-        for (router, number, begun_ms) in deadly.into_iter().chain(beside.iter().copied()) {
+        let mut events = vec![];
+        let harmful = cause.map(|router| (router, HARMFUL, None));
+        for (router, number, begun_ms) in harmful.into_iter().chain(bystanders.iter().copied()) {
             let Some(stage) = Stage::of(begun_ms) else { continue };
             let now_ms = now as Millis;
-            let reaction =
+            let follow_up =
                 self.quarantines[router].observe_crash(fingerprint(number), &upstream, stage, now_ms);
-            self.react(router, reaction, now, random, &mut messages);
+            self.follow_up(router, follow_up, now, random, &mut events);
         }
-        messages
+        events
     }
 
     /// Takes in what another router said.
-    pub(crate) fn hear(
+    pub(crate) fn receive(
         &mut self,
         router: usize,
-        word: &Notice,
+        notice: &Notice,
         now: f64,
         random: &mut SmallRng,
-    ) -> Vec<Message> {
-        self.outcome.words += 1;
-        let reaction = self.quarantines[router].apply(word, now as Millis);
-        let mut messages = vec![];
-        self.react(router, reaction, now, random, &mut messages);
-        self.look(now);
-        messages
+    ) -> Vec<RouterEvent> {
+        self.outcome.received_notices += 1;
+        let follow_up = self.quarantines[router].apply(notice, now as Millis);
+        let mut events = vec![];
+        self.follow_up(router, follow_up, now, random, &mut events);
+        self.update_denied_everywhere(now);
+        events
     }
 
     /// Decides on suspects whose time has come.
-    pub(crate) fn decide(&mut self, router: usize, now: f64, random: &mut SmallRng) -> Vec<Message> {
-        let mut messages = vec![];
+    pub(crate) fn decide(&mut self, router: usize, now: f64, random: &mut SmallRng) -> Vec<RouterEvent> {
+        let mut events = vec![];
         for denied in self.quarantines[router].decide(now as Millis) {
-            self.outcome.innocent += u64::from(denied != fingerprint(DEADLY));
+            self.outcome.others_denied += u64::from(denied != fingerprint(HARMFUL));
             if !self.quarantines[router].is_firsthand(denied) {
                 continue;
             }
             let upstreams = self.quarantines[router].denied_upstreams(denied).unwrap_or_default();
             let lasts_ms = route::quarantine::DENIAL_DURATION_MS;
-            let word = Notice::Denied { fingerprint: denied, upstreams, lasts_ms };
-            self.tell(router, &word, now, random, &mut messages);
+            let notice = Notice::Denied { fingerprint: denied, upstreams, lasts_ms };
+            self.send_notice(router, &notice, now, random, &mut events);
         }
-        self.look(now);
-        messages
+        self.update_denied_everywhere(now);
+        events
     }
 
     /// Takes down when all routers deny the deadly request.
-    fn look(&mut self, now: f64) {
-        let Some(third) = self.third.filter(|_| self.outcome.known_ms == 0.0) else { return };
+    fn update_denied_everywhere(&mut self, now: f64) {
+        let Some(threshold_crash) = self.threshold_crash.filter(|_| self.outcome.denied_everywhere_ms == 0.0)
+        else {
+            return;
+        };
         let is_denied = |quarantine: &Quarantine| {
-            quarantine.verdict(fingerprint(DEADLY), now as Millis) == Verdict::Denied
+            quarantine.verdict(fingerprint(HARMFUL), now as Millis) == Verdict::Denied
         };
         if self.quarantines.iter().all(is_denied) {
-            self.outcome.known_ms = now - third;
+            self.outcome.denied_everywhere_ms = now - threshold_crash;
         }
     }
 
-    fn react(
+    fn follow_up(
         &mut self,
         router: usize,
-        reaction: FollowUp,
+        follow_up: FollowUp,
         now: f64,
         random: &mut SmallRng,
-        messages: &mut Vec<Message>,
+        events: &mut Vec<RouterEvent>,
     ) {
-        if let Some(word) = &reaction.notice {
-            self.tell(router, word, now, random, messages);
+        if let Some(notice) = &follow_up.notice {
+            self.send_notice(router, notice, now, random, events);
         }
-        if reaction.is_decision_due {
-            messages.push(Message { at: now + DECISION_DELAY_MS as f64 + 1.0, router, word: None });
+        if follow_up.is_decision_due {
+            events.push(RouterEvent { at: now + DECISION_DELAY_MS as f64 + 1.0, router, notice: None });
         }
     }
 
-    fn tell(
+    fn send_notice(
         &mut self,
         from: usize,
-        word: &Notice,
+        notice: &Notice,
         now: f64,
         random: &mut SmallRng,
-        messages: &mut Vec<Message>,
+        events: &mut Vec<RouterEvent>,
     ) {
         let routers = self.names.len();
         let others = (0..routers).filter(|router| *router != from);
-        let chosen: Vec<usize> = match self.bounds[from].recipients(word, routers, now as Millis) {
+        let recipients: Vec<usize> = match self.limiters[from].recipients(notice, routers, now as Millis) {
             Recipients::All => others.collect(),
             Recipients::Coordinators(request) => {
                 coordinators(request, others.map(|router| (router, self.names[router].as_str())))
             }
         };
-        for router in chosen {
-            for pause in SENDS_MS {
-                if !random.gen_bool(LOSS) {
-                    messages.push(Message { at: now + pause + 1.0, router, word: Some(word.clone()) });
+        for router in recipients {
+            for delay in SEND_DELAYS_MS {
+                if !random.gen_bool(LOSS_RATE) {
+                    events.push(RouterEvent { at: now + delay + 1.0, router, notice: Some(notice.clone()) });
                 }
             }
         }
@@ -218,6 +221,6 @@
 
 /// The runs that an engine loses when it ends, with whether it was up.
 pub(crate) fn crash(engine: &mut Engine) -> Vec<usize> {
-    engine.is_dead = true;
+    engine.is_down = true;
     engine.crash()
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -11,9 +11,9 @@
 mod scenarios;
 mod simulation;
 
-pub use engine::{Counts, Engine, Happened, Job, Part, Spec};
-pub use load::{Kind, Request, Shared, Size};
-pub use outcome::{Deadly, Outcome, Share, Signals};
-pub use restart::{Bound, Received, Return, play_return};
-pub use scenarios::{plains, reports, storms};
-pub use simulation::{Fault, Scene, play};
+pub use engine::{Engine, EngineCounters, EngineSpec, Job, Part, StepEvent};
+pub use load::{Request, RequestKind, SharedParts, SizeDistribution};
+pub use outcome::{HarmfulOutcome, KindOutcome, Outcome, SignalOutcome};
+pub use restart::{LimitMethod, RestartOutcome, RestartScenario, simulate_restart};
+pub use scenarios::{large_fleet, narratives_and_summaries, reports_and_captions};
+pub use simulation::{Fault, Scenario, simulate};
--- a/crates/emulator/src/restart.rs
+++ b/crates/emulator/src/restart.rs
@@ -11,19 +11,19 @@
 use std::collections::{HashMap, VecDeque};
 
 /// How long the upstreams warm up, in milliseconds.
-const LASTS_MS: u64 = 3_000;
+const WARMUP_MS: u64 = 3_000;
 /// What an upstream bears in a second while it warms up.
-const PER_S: f64 = 9.9;
+const LIMIT_PER_S: f64 = 9.9;
 /// The time that a datagram takes, in milliseconds.
-const WAY_MS: u64 = 2;
+const LATENCY_MS: u64 = 2;
 /// The part of datagrams that is lost.
-const LOST: f64 = 0.01;
+const LOSS_RATE: f64 = 0.01;
 /// The service of the upstreams.
 const SERVICE: &str = "narrator";
 
 /// How gateways keep to what an upstream bears.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Bound {
+pub enum LimitMethod {
     /// They don't: each takes the one that got the least from itself.
     None,
     /// Each counts what it sent itself and what it hears of the others' dispatches.
@@ -36,7 +36,7 @@
 
 /// Upstreams that come back.
 #[derive(Clone, Copy, Debug)]
-pub struct Return {
+pub struct RestartScenario {
     /// Gateways.
     pub gateways: usize,
     /// Upstreams that come back together.
@@ -44,111 +44,113 @@
     /// Requests in a second, through all gateways.
     pub per_s: f64,
     /// How gateways keep to what they bear.
-    pub bound: Bound,
+    pub method: LimitMethod,
     /// Gateways that hear nothing and are not heard.
-    pub cut: usize,
+    pub isolated: usize,
 }
 
 /// What the upstreams got.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Received {
+pub struct RestartOutcome {
     /// The most requests that one got in a second.
-    pub worst_second: u32,
+    pub max_per_second: u32,
     /// The part of what they bear in all that they got.
-    pub used: f64,
+    pub used_share: f64,
     /// Datagrams in a second, of all gateways together.
     pub datagrams_per_s: f64,
 }
 
-fn name(index: usize) -> String {
+fn upstream_name(index: usize) -> String {
     format!("engine-{index}")
 }
 
-fn gateway(index: usize, scene: &Return) -> Placer {
-    let mut places = Placer::new("here");
-    let warmup = Warmup { per_s: PER_S, duration_ms: LASTS_MS };
-    places.set_warmups(HashMap::from([(SERVICE.to_owned(), warmup)]));
-    for upstream in 0..scene.upstreams {
-        let site = UpstreamInfo { service: SERVICE.to_owned(), data_centre: "here".to_owned(), slots: 48 };
-        places.set(&name(upstream), site, false);
-        if scene.bound == Bound::Ring {
-            places.warm_up(&name(upstream), SPAN_MS + LASTS_MS, 0);
+fn new_gateway(index: usize, scenario: &RestartScenario) -> Placer {
+    let mut placer = Placer::new("here");
+    let warmup = Warmup { per_s: LIMIT_PER_S, duration_ms: WARMUP_MS };
+    placer.set_warmups(HashMap::from([(SERVICE.to_owned(), warmup)]));
+    for upstream in 0..scenario.upstreams {
+        let info = UpstreamInfo { service: SERVICE.to_owned(), data_centre: "here".to_owned(), slots: 48 };
+        placer.set(&upstream_name(upstream), info, false);
+        if scenario.method == LimitMethod::Ring {
+            placer.warm_up(&upstream_name(upstream), SPAN_MS + WARMUP_MS, 0);
         }
     }
     let own = format!("vm-{index}");
-    let names: Vec<String> = (0..scene.gateways).map(|other| format!("vm-{other}")).collect();
-    places.roster.update_list(&own, names.iter().map(String::as_str), Some(u64::MAX), 0, LASTS_MS);
-    places.roster.confirm_heartbeat(0, 0, Roster::join_delay_ms(LASTS_MS), LASTS_MS);
-    places
+    let names: Vec<String> = (0..scenario.gateways).map(|other| format!("vm-{other}")).collect();
+    placer.roster.update_list(&own, names.iter().map(String::as_str), Some(u64::MAX), 0, WARMUP_MS);
+    placer.roster.confirm_heartbeat(0, 0, Roster::join_delay_ms(WARMUP_MS), WARMUP_MS);
+    placer
 }
 
 /// Plays the time for which the upstreams warm up, once the gateways have known each other for a while.
-pub fn play_return(seed: u64, scene: &Return) -> Received {
+pub fn simulate_restart(seed: u64, scenario: &RestartScenario) -> RestartOutcome {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut gateways: Vec<Placer> = (0..scene.gateways).map(|index| gateway(index, scene)).collect();
+    let mut gateways: Vec<Placer> =
+        (0..scenario.gateways).map(|index| new_gateway(index, scenario)).collect();
     // What each gateway knows that an upstream got, and when.
-    let mut known: Vec<Vec<VecDeque<u64>>> = vec![vec![VecDeque::new(); scene.upstreams]; scene.gateways];
-    let mut on_the_way: VecDeque<(u64, usize, usize)> = VecDeque::new();
-    let mut got: Vec<Vec<u64>> = vec![vec![]; scene.upstreams];
+    let mut known_dispatches: Vec<Vec<VecDeque<u64>>> =
+        vec![vec![VecDeque::new(); scenario.upstreams]; scenario.gateways];
+    let mut in_flight: VecDeque<(u64, usize, usize)> = VecDeque::new();
+    let mut received: Vec<Vec<u64>> = vec![vec![]; scenario.upstreams];
     let mut datagrams = 0_u64;
-    let (start, end) = (SPAN_MS, SPAN_MS + LASTS_MS);
+    let (start, end) = (SPAN_MS, SPAN_MS + WARMUP_MS);
     let mut clock = start as f64;
     loop {
-        clock += -random.gen_range(f64::MIN_POSITIVE..1.0).ln() * 1_000.0 / scene.per_s;
+        clock += -random.gen_range(f64::MIN_POSITIVE..1.0).ln() * 1_000.0 / scenario.per_s;
         let now = clock as u64;
         if now >= end {
             break;
         }
-        while let Some((_, to, upstream)) = on_the_way.pop_front_if(|(at, ..)| *at <= now) {
-            known[to][upstream].push_back(now);
+        while let Some((_, to, upstream)) = in_flight.pop_front_if(|(at, ..)| *at <= now) {
+            known_dispatches[to][upstream].push_back(now);
         }
-        let from = random.gen_range(0..scene.gateways);
+        let from = random.gen_range(0..scenario.gateways);
         let counts = |upstream: usize| -> usize {
-            known[from][upstream].iter().filter(|at| now - **at < 1_000).count()
+            known_dispatches[from][upstream].iter().filter(|at| now - **at < 1_000).count()
         };
-        let chosen = match scene.bound {
-            Bound::Ring => ring(&mut gateways[from], now),
-            bound => {
+        let chosen = match scenario.method {
+            LimitMethod::Ring => choose_by_ring(&mut gateways[from], now),
+            method => {
                 let least =
-                    (0..scene.upstreams).map(|index| (counts(index), random.r#gen::<u32>(), index)).min();
+                    (0..scenario.upstreams).map(|index| (counts(index), random.r#gen::<u32>(), index)).min();
                 let (count, _, index) = least.expect("an upstream");
-                let most = match bound {
-                    Bound::Heard => PER_S,
-                    Bound::EqualParts => (PER_S / scene.gateways as f64).max(1.0),
+                let limit = match method {
+                    LimitMethod::Heard => LIMIT_PER_S,
+                    LimitMethod::EqualParts => (LIMIT_PER_S / scenario.gateways as f64).max(1.0),
                     _ => f64::INFINITY,
                 };
-                ((count as f64) < most.floor()).then_some(index)
+                ((count as f64) < limit.floor()).then_some(index)
             }
         };
         let Some(upstream) = chosen else { continue };
-        got[upstream].push(now);
-        known[from][upstream].push_back(now);
-        if scene.bound == Bound::Heard && from >= scene.cut {
-            for to in (scene.cut..scene.gateways).filter(|to| *to != from) {
+        received[upstream].push(now);
+        known_dispatches[from][upstream].push_back(now);
+        if scenario.method == LimitMethod::Heard && from >= scenario.isolated {
+            for to in (scenario.isolated..scenario.gateways).filter(|to| *to != from) {
                 datagrams += 1;
-                if !random.gen_bool(LOST) {
-                    on_the_way.push_back((now + WAY_MS, to, upstream));
+                if !random.gen_bool(LOSS_RATE) {
+                    in_flight.push_back((now + LATENCY_MS, to, upstream));
                 }
             }
         }
     }
-    let all: usize = got.iter().map(Vec::len).sum();
-    Received {
-        worst_second: got.iter().map(|times| worst(times)).max().unwrap_or(0),
-        used: all as f64 / (scene.upstreams as f64 * PER_S * LASTS_MS as f64 / 1_000.0),
-        datagrams_per_s: datagrams as f64 * 1_000.0 / LASTS_MS as f64,
+    let all: usize = received.iter().map(Vec::len).sum();
+    RestartOutcome {
+        max_per_second: received.iter().map(|times| max_in_one_second(times)).max().unwrap_or(0),
+        used_share: all as f64 / (scenario.upstreams as f64 * LIMIT_PER_S * WARMUP_MS as f64 / 1_000.0),
+        datagrams_per_s: datagrams as f64 * 1_000.0 / WARMUP_MS as f64,
     }
 }
 
 /// Sends a request by the gateway's own choice.
-fn ring(places: &mut Placer, now: u64) -> Option<usize> {
-    let chosen = places.choose(&PlacementRequest { service: SERVICE, prompt: None, avoid: &[] }, now)?;
-    let ticket = places.begin(&chosen, None, now);
-    places.end(&chosen.upstream, ticket, now);
+fn choose_by_ring(placer: &mut Placer, now: u64) -> Option<usize> {
+    let chosen = placer.choose(&PlacementRequest { service: SERVICE, prompt: None, avoid: &[] }, now)?;
+    let ticket = placer.begin(&chosen, None, now);
+    placer.end(&chosen.upstream, ticket, now);
     chosen.upstream["engine-".len()..].parse().ok()
 }
 
-fn worst(times: &[u64]) -> u32 {
+fn max_in_one_second(times: &[u64]) -> u32 {
     let last = |first: &u64| times.partition_point(|at| *at < first + 1_000);
     times.iter().enumerate().map(|(index, first)| (last(first) - index) as u32).max().unwrap_or(0)
 }
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,8 +1,8 @@
 //! Callers, routers with private views, and engines in virtual time.
 
-use crate::engine::{Engine, Happened, Job, Spec};
-use crate::harmful::{self, Message, Watch};
-use crate::load::{Kind, Request};
+use crate::engine::{Engine, EngineSpec, Job, StepEvent};
+use crate::harmful::{self, QuarantineSimulation, RouterEvent};
+use crate::load::{Request, RequestKind};
 use crate::outcome::Outcome;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -17,39 +17,39 @@
 /// The name of the service.
 const SERVICE: &str = "engines";
 /// The time from a router to an engine or to another router, in milliseconds.
-const WAY_MS: f64 = 1.0;
+const LATENCY_MS: f64 = 1.0;
 /// A shared part that was used so recently should still be kept somewhere, in milliseconds.
-const AGAIN_MS: f64 = 10_000.0;
+const EXPECTED_CACHE_MS: f64 = 10_000.0;
 /// How often the engines are divided, in milliseconds: with each heartbeat of a gateway.
-const DIVIDE_MS: f64 = 1_500.0;
+const DIVISION_INTERVAL_MS: f64 = 1_500.0;
 /// How long an engine that leaves still serves, in milliseconds.
-const LEAVES_MS: f64 = 4_000.0;
+const LEAVING_MS: f64 = 4_000.0;
 /// How often a request is tried again whose engine ended.
 const RETRIES: u32 = 2;
 /// Events come in units of this part of a millisecond.
-const TICKS: f64 = 1_000.0;
+const TICKS_PER_MS: f64 = 1_000.0;
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     /// Routers.
     pub routers: usize,
     /// Data centres, over which routers and engines are spread.
     pub data_centres: usize,
     /// The engines' specification.
-    pub engine: Spec,
+    pub engine: EngineSpec,
     /// How many times slower than that each engine is.
-    pub slow: Vec<f64>,
+    pub slowdowns: Vec<f64>,
     /// The kinds of requests.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// Multiple of the usual rates.
     pub load: f64,
     /// How long it is played, in milliseconds, and from when on requests count.
-    pub length_ms: f64,
+    pub duration_ms: f64,
     /// Requests that come earlier do not count.
-    pub warm_ms: f64,
+    pub warmup_ms: f64,
     /// Which dispatches routers tell the others.
-    pub teller: HintFilter,
+    pub hint_filter: HintFilter,
     /// What goes wrong, and when.
     pub faults: Vec<(f64, Fault)>,
     /// The seed of all that is random.
@@ -68,55 +68,55 @@
     /// An engine says in its answers that it leaves, and the list does not; after some seconds it ends, and another life of it begins.
     Leave(usize),
     /// An engine refuses what comes, and asks for rest for the time that is left of so many milliseconds.
-    Rest(usize, f64),
+    BackOff(usize, f64),
     /// From now on a request that ends its engines comes so many times a second, to any router.
-    Deadly(f64),
+    HarmfulRequests(f64),
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    Arrive,
-    Reach { engine: usize, id: usize },
-    Hear { router: usize, engine: usize, told: DispatchHint },
-    Step { engine: usize, number: u64 },
-    Leave { id: usize },
-    Strike(Fault),
-    Divide,
-    ArriveDeadly,
-    BeginDeadly { router: usize, engine: usize },
-    Word { router: usize, word: Option<Notice> },
-    Return { engine: usize },
-    Depart { engine: usize },
+    Arrival,
+    ReachEngine { engine: usize, id: usize },
+    ReceiveHint { router: usize, engine: usize, hint: DispatchHint },
+    EndStep { engine: usize, number: u64 },
+    Timeout { id: usize },
+    Inject(Fault),
+    AdaptDivisions,
+    HarmfulArrival,
+    CrashByHarmful { router: usize, engine: usize },
+    RouterEvent { router: usize, notice: Option<Notice> },
+    Restart { engine: usize },
+    EndLeaving { engine: usize },
 }
 
-struct Timed {
+struct ScheduledEvent {
     at: u64,
     order: u64,
     event: Event,
 }
 
-impl PartialEq for Timed {
-    fn eq(&self, other: &Timed) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Timed {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Timed {
-    fn partial_cmp(&self, other: &Timed) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Timed {
-    fn cmp(&self, other: &Timed) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
 /// A request that is being carried out.
-struct Live {
+struct OpenRequest {
     request: Request,
     /// The request's number: a retry has the same.
     number: u64,
@@ -124,223 +124,237 @@
     retries: u32,
     router: usize,
     engine: usize,
-    ticket: DispatchId,
+    dispatch_id: DispatchId,
     pauses: Option<PauseTracker>,
-    last: f64,
+    last_event: f64,
     first_ms: f64,
     gap_ms: f64,
 }
 
-struct World<'a> {
-    scene: &'a Scene,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
     now: f64,
     order: u64,
-    events: BinaryHeap<Reverse<Timed>>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     random: SmallRng,
     routers: Vec<Placer>,
-    tellers: Vec<HintFilter>,
+    hint_filters: Vec<HintFilter>,
     engines: Vec<Engine>,
     names: Vec<String>,
-    live: HashMap<usize, Live>,
-    count: usize,
+    open_requests: HashMap<usize, OpenRequest>,
+    next_id: usize,
     load: f64,
-    used: HashMap<u64, f64>,
+    part_last_used: HashMap<u64, f64>,
     /// Until when each engine rests.
-    rests_until: Vec<f64>,
+    backoff_until: Vec<f64>,
     /// Routers that each engine told that it leaves; `None` as long as it doesn't.
     leaving: Vec<Option<HashSet<usize>>>,
     /// Routers that each engine told how long it rests.
-    told_rest: HashSet<(usize, usize)>,
-    watch: Watch,
-    deadly_per_s: f64,
+    told_backoff: HashSet<(usize, usize)>,
+    quarantine: QuarantineSimulation,
+    harmful_per_s: f64,
     outcome: Outcome,
 }
 
 /// Plays a scene to its end.
-pub fn play(scene: &Scene) -> Outcome {
-    let mut world = World::new(scene);
-    world.push(0.0, Event::Arrive);
-    world.push(DIVIDE_MS, Event::Divide);
-    for (at, fault) in &scene.faults {
-        world.push(*at, Event::Strike(*fault));
+pub fn simulate(scenario: &Scenario) -> Outcome {
+    let mut simulation = Simulation::new(scenario);
+    simulation.push(0.0, Event::Arrival);
+    simulation.push(DIVISION_INTERVAL_MS, Event::AdaptDivisions);
+    for (at, fault) in &scenario.faults {
+        simulation.push(*at, Event::Inject(*fault));
     }
-    while let Some(Reverse(next)) = world.events.pop() {
-        world.now = next.at as f64 / TICKS;
-        if world.now > scene.length_ms {
+    while let Some(Reverse(next)) = simulation.events.pop() {
+        simulation.now = next.at as f64 / TICKS_PER_MS;
+        if simulation.now > scenario.duration_ms {
             break;
         }
-        world.step(next.event);
+        simulation.handle(next.event);
     }
-    for engine in &world.engines {
-        world.outcome.read += engine.counts().read;
-        world.outcome.preempted += engine.counts().preempted;
+    for engine in &simulation.engines {
+        simulation.outcome.read_tokens += engine.counters().read_tokens;
+        simulation.outcome.preemptions += engine.counters().preemptions;
     }
-    world.outcome.deadly = world.watch.outcome;
-    world.outcome
+    simulation.outcome.harmful = simulation.quarantine.outcome;
+    simulation.outcome
 }
 
-impl<'a> World<'a> {
-    fn new(scene: &'a Scene) -> World<'a> {
-        let names: Vec<String> = (0..scene.slow.len()).map(|engine| format!("engine-{engine:03}")).collect();
-        let centre = |index: usize| format!("dc-{}", index % scene.data_centres);
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario) -> Simulation<'a> {
+        let names: Vec<String> =
+            (0..scenario.slowdowns.len()).map(|engine| format!("engine-{engine:03}")).collect();
+        let data_centre = |index: usize| format!("dc-{}", index % scenario.data_centres);
         let router = |index| {
-            let mut places = Placer::new(&centre(index));
+            let mut placer = Placer::new(&data_centre(index));
             for (engine, name) in names.iter().enumerate() {
-                let slots = scene.engine.slots as u32;
-                let site = UpstreamInfo { service: SERVICE.to_owned(), data_centre: centre(engine), slots };
-                places.set(name, site, false);
+                let slots = scenario.engine.slots as u32;
+                let info =
+                    UpstreamInfo { service: SERVICE.to_owned(), data_centre: data_centre(engine), slots };
+                placer.set(name, info, false);
             }
-            places
+            placer
         };
-        World {
+        Simulation {
             now: 0.0,
             order: 0,
             events: BinaryHeap::new(),
-            random: SmallRng::seed_from_u64(scene.seed),
-            routers: (0..scene.routers).map(router).collect(),
-            tellers: vec![scene.teller; scene.routers],
-            engines: scene.slow.iter().map(|slow| Engine::new(scene.engine.clone(), *slow)).collect(),
+            random: SmallRng::seed_from_u64(scenario.seed),
+            routers: (0..scenario.routers).map(router).collect(),
+            hint_filters: vec![scenario.hint_filter; scenario.routers],
+            engines: scenario
+                .slowdowns
+                .iter()
+                .map(|slowdown| Engine::new(scenario.engine.clone(), *slowdown))
+                .collect(),
             names,
-            live: HashMap::new(),
-            count: 0,
-            load: scene.load,
-            used: HashMap::new(),
-            rests_until: vec![0.0; scene.slow.len()],
-            leaving: vec![None; scene.slow.len()],
-            told_rest: HashSet::new(),
-            watch: Watch::new(scene.routers, scene.slow.len()),
-            deadly_per_s: 0.0,
-            outcome: Outcome::new(&scene.kinds),
-            scene,
+            open_requests: HashMap::new(),
+            next_id: 0,
+            load: scenario.load,
+            part_last_used: HashMap::new(),
+            backoff_until: vec![0.0; scenario.slowdowns.len()],
+            leaving: vec![None; scenario.slowdowns.len()],
+            told_backoff: HashSet::new(),
+            quarantine: QuarantineSimulation::new(scenario.routers, scenario.slowdowns.len()),
+            harmful_per_s: 0.0,
+            outcome: Outcome::new(&scenario.kinds),
+            scenario,
         }
     }
 
     fn push(&mut self, at: f64, event: Event) {
         self.order += 1;
-        self.events.push(Reverse(Timed { at: (at * TICKS) as u64, order: self.order, event }));
+        self.events.push(Reverse(ScheduledEvent {
+            at: (at * TICKS_PER_MS) as u64,
+            order: self.order,
+            event,
+        }));
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Reach { engine, id } => self.reach(engine, id),
-            Event::Hear { router, engine, told } => {
-                self.routers[router].hear_dispatch(&self.names[engine], &told, self.now as Millis);
+            Event::Arrival => self.arrive(),
+            Event::ReachEngine { engine, id } => self.reach(engine, id),
+            Event::ReceiveHint { router, engine, hint } => {
+                self.routers[router].hear_dispatch(&self.names[engine], &hint, self.now as Millis);
             }
-            Event::Step { engine, number } => self.end_step(engine, number),
-            Event::Leave { id } => self.leave(id),
-            Event::Strike(Fault::Slow(engine, slow)) => self.engines[engine].slow = slow,
-            Event::Strike(Fault::Load(load)) => self.load = load,
-            Event::Strike(Fault::Crash(engine)) => self.crash(engine, None),
-            Event::Strike(Fault::Leave(engine)) => {
+            Event::EndStep { engine, number } => self.end_step(engine, number),
+            Event::Timeout { id } => self.time_out(id),
+            Event::Inject(Fault::Slow(engine, slowdown)) => self.engines[engine].slowdown = slowdown,
+            Event::Inject(Fault::Load(load)) => self.load = load,
+            Event::Inject(Fault::Crash(engine)) => self.crash(engine, None),
+            Event::Inject(Fault::Leave(engine)) => {
                 self.leaving[engine] = Some(HashSet::new());
-                self.push(self.now + LEAVES_MS, Event::Depart { engine });
+                self.push(self.now + LEAVING_MS, Event::EndLeaving { engine });
             }
-            Event::Strike(Fault::Rest(engine, ms)) => {
-                self.rests_until[engine] = self.now + ms;
-                self.told_rest.retain(|(resting, _)| *resting != engine);
+            Event::Inject(Fault::BackOff(engine, ms)) => {
+                self.backoff_until[engine] = self.now + ms;
+                self.told_backoff.retain(|(backing_off, _)| *backing_off != engine);
             }
-            Event::Strike(Fault::Deadly(per_s)) => {
-                self.deadly_per_s = per_s;
-                self.push(self.now, Event::ArriveDeadly);
+            Event::Inject(Fault::HarmfulRequests(per_s)) => {
+                self.harmful_per_s = per_s;
+                self.push(self.now, Event::HarmfulArrival);
             }
-            Event::Divide => self.divide(),
-            Event::ArriveDeadly => self.arrive_deadly(),
-            Event::BeginDeadly { router, engine } => {
-                if !self.engines[engine].is_dead {
+            Event::AdaptDivisions => self.adapt_divisions(),
+            Event::HarmfulArrival => self.arrive_harmful(),
+            Event::CrashByHarmful { router, engine } => {
+                if !self.engines[engine].is_down {
                     self.crash(engine, Some(router));
                 }
             }
-            Event::Word { router, word: Some(word) } => {
-                let messages = self.watch.hear(router, &word, self.now, &mut self.random);
-                self.send(messages);
+            Event::RouterEvent { router, notice: Some(notice) } => {
+                let events = self.quarantine.receive(router, &notice, self.now, &mut self.random);
+                self.schedule(events);
             }
-            Event::Word { router, word: None } => {
-                let messages = self.watch.decide(router, self.now, &mut self.random);
-                self.send(messages);
+            Event::RouterEvent { router, notice: None } => {
+                let events = self.quarantine.decide(router, self.now, &mut self.random);
+                self.schedule(events);
             }
-            Event::Return { engine } => self.come_back(engine),
-            Event::Depart { engine } => {
-                self.outcome.signals.cut += self.engines[engine].running() as u64;
+            Event::Restart { engine } => self.restart(engine),
+            Event::EndLeaving { engine } => {
+                self.outcome.signals.lost_runs += self.engines[engine].running_count() as u64;
                 self.crash(engine, None);
             }
         }
     }
 
-    fn arrive_deadly(&mut self) {
-        if self.deadly_per_s <= 0.0 {
+    fn arrive_harmful(&mut self) {
+        if self.harmful_per_s <= 0.0 {
             return;
         }
-        let wait = -self.random.r#gen::<f64>().max(1e-12).ln() * 1_000.0 / self.deadly_per_s;
-        self.push(self.now + wait, Event::ArriveDeadly);
+        let wait = -self.random.r#gen::<f64>().max(1e-12).ln() * 1_000.0 / self.harmful_per_s;
+        self.push(self.now + wait, Event::HarmfulArrival);
         let router = self.random.gen_range(0..self.routers.len());
-        if !self.watch.admits_deadly(router, self.now) {
+        if !self.quarantine.admits_harmful(router, self.now) {
             return;
         }
-        let need = PlacementRequest { service: SERVICE, prompt: None, avoid: &[] };
-        let Some(chosen) = self.routers[router].choose(&need, self.now as Millis) else { return };
-        let engine = self.names.iter().position(|name| *name == chosen.upstream).unwrap_or(0);
-        self.push(self.now + harmful::BEGINS_MS, Event::BeginDeadly { router, engine });
+        let placement_request = PlacementRequest { service: SERVICE, prompt: None, avoid: &[] };
+        let Some(placement) = self.routers[router].choose(&placement_request, self.now as Millis) else {
+            return;
+        };
+        let engine = self.names.iter().position(|name| *name == placement.upstream).unwrap_or(0);
+        self.push(self.now + harmful::CRASH_DELAY_MS, Event::CrashByHarmful { router, engine });
     }
 
     /// Ends an engine: it leaves the list, and what ran there is tried again.
-    fn crash(&mut self, engine: usize, of: Option<usize>) {
-        if self.engines[engine].is_dead {
+    fn crash(&mut self, engine: usize, cause: Option<usize>) {
+        if self.engines[engine].is_down {
             return;
         }
         let lost = harmful::crash(&mut self.engines[engine]);
-        self.push(self.now + harmful::DOWN_MS, Event::Return { engine });
+        self.push(self.now + harmful::DOWNTIME_MS, Event::Restart { engine });
         for router in &mut self.routers {
             router.remove(&self.names[engine]);
         }
-        let beside: Vec<_> = lost
+        let bystanders: Vec<_> = lost
             .iter()
-            .filter_map(|id| self.live.get(id))
-            .map(|live| {
-                let first = live.request.arrived + live.first_ms;
-                let begun_ms = live.pauses.as_ref().map(|_| (self.now - first) as Millis);
-                (live.router, live.number, begun_ms)
+            .filter_map(|id| self.open_requests.get(id))
+            .map(|open_request| {
+                let first = open_request.request.arrived + open_request.first_ms;
+                let begun_ms = open_request.pauses.as_ref().map(|_| (self.now - first) as Millis);
+                (open_request.router, open_request.number, begun_ms)
             })
             .collect();
-        let messages = self.watch.end(engine, of, &beside, self.now, &mut self.random);
-        self.send(messages);
+        let events = self.quarantine.record_crash(engine, cause, &bystanders, self.now, &mut self.random);
+        self.schedule(events);
         for id in lost {
             self.retry(id);
         }
     }
 
     fn retry(&mut self, id: usize) {
-        let Some(live) = self.live.get(&id) else { return };
-        if live.retries == 0 || !self.watch.admits(live.router, live.number, self.now) {
+        let Some(open_request) = self.open_requests.get(&id) else { return };
+        if open_request.retries == 0
+            || !self.quarantine.admits(open_request.router, open_request.number, self.now)
+        {
             return self.close(id, false);
         }
-        let (request, router) = (live.request.clone(), live.router);
-        let (number, retries) = (live.number, live.retries - 1);
-        self.live.remove(&id);
-        self.dispatch_as(request, router, number, retries);
+        let (request, router) = (open_request.request.clone(), open_request.router);
+        let (number, retries) = (open_request.number, open_request.retries - 1);
+        self.open_requests.remove(&id);
+        self.dispatch(request, router, number, retries);
     }
 
-    fn come_back(&mut self, engine: usize) {
-        self.engines[engine].is_dead = false;
+    fn restart(&mut self, engine: usize) {
+        self.engines[engine].is_down = false;
         self.leaving[engine] = None;
-        let slots = self.scene.engine.slots as u32;
-        let data_centre = format!("dc-{}", engine % self.scene.data_centres);
+        let slots = self.scenario.engine.slots as u32;
+        let data_centre = format!("dc-{}", engine % self.scenario.data_centres);
         for router in &mut self.routers {
             router.forget(&self.names[engine]);
-            let site = UpstreamInfo { service: SERVICE.to_owned(), data_centre: data_centre.clone(), slots };
-            router.set(&self.names[engine], site, false);
+            let info = UpstreamInfo { service: SERVICE.to_owned(), data_centre: data_centre.clone(), slots };
+            router.set(&self.names[engine], info, false);
         }
     }
 
-    fn send(&mut self, messages: Vec<Message>) {
-        for Message { at, router, word } in messages {
-            self.push(at, Event::Word { router, word });
+    fn schedule(&mut self, events: Vec<RouterEvent>) {
+        for RouterEvent { at, router, notice } in events {
+            self.push(at, Event::RouterEvent { router, notice });
         }
     }
 
     /// The first router divides the engines, the others follow.
-    fn divide(&mut self) {
-        self.push(self.now + DIVIDE_MS, Event::Divide);
+    fn adapt_divisions(&mut self) {
+        self.push(self.now + DIVISION_INTERVAL_MS, Event::AdaptDivisions);
         let now = self.now as Millis;
         let Some((first, others)) = self.routers.split_first_mut() else { return };
         for (service, short) in first.adapt_divisions(now) {
@@ -351,186 +365,199 @@
     }
 
     fn arrive(&mut self) {
-        let all: f64 = self.scene.kinds.iter().map(|kind| kind.per_s).sum();
-        let wait = -self.random.r#gen::<f64>().max(1e-12).ln() * 1_000.0 / (all * self.load);
-        self.push(self.now + wait, Event::Arrive);
-        let mut pick = self.random.r#gen::<f64>() * all;
-        let kinds = &self.scene.kinds;
+        let total_per_s: f64 = self.scenario.kinds.iter().map(|kind| kind.per_s).sum();
+        let wait = -self.random.r#gen::<f64>().max(1e-12).ln() * 1_000.0 / (total_per_s * self.load);
+        self.push(self.now + wait, Event::Arrival);
+        let mut remaining = self.random.r#gen::<f64>() * total_per_s;
+        let kinds = &self.scenario.kinds;
         let index = kinds.iter().position(|kind| {
-            pick -= kind.per_s;
-            pick < 0.0
+            remaining -= kind.per_s;
+            remaining < 0.0
         });
         let index = index.unwrap_or(kinds.len() - 1);
-        let request = kinds[index].draw(index, self.now, self.scene.engine.stride, &mut self.random);
+        let request =
+            kinds[index].sample(index, self.now, self.scenario.engine.tokens_per_event, &mut self.random);
         let router = self.random.gen_range(0..self.routers.len());
-        let number = self.count as u64;
-        if self.watch.admits(router, number, self.now) {
-            self.dispatch_as(request, router, number, RETRIES);
+        let number = self.next_id as u64;
+        if self.quarantine.admits(router, number, self.now) {
+            self.dispatch(request, router, number, RETRIES);
         }
     }
 
-    fn dispatch_as(&mut self, request: Request, router: usize, number: u64, retries: u32) {
-        let kind = &self.scene.kinds[request.kind];
+    fn dispatch(&mut self, request: Request, router: usize, number: u64, retries: u32) {
+        let kind = &self.scenario.kinds[request.kind];
         let parts: Vec<PromptPart> =
             request.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens as u32 }).collect();
         let prompt = Prompt {
             parts: &parts,
             input: request.parts.iter().map(|part| part.tokens).sum(),
-            events: request.output / self.scene.engine.stride,
+            events: request.output_tokens / self.scenario.engine.tokens_per_event,
             target_ms: kind.target_ms,
             gap_ms: kind.gap_ms,
         };
-        let need = PlacementRequest { service: SERVICE, prompt: Some(prompt), avoid: &[] };
+        let placement_request = PlacementRequest { service: SERVICE, prompt: Some(prompt), avoid: &[] };
         let now = self.now as Millis;
-        let places = &mut self.routers[router];
-        let Some(chosen) = places.choose(&need, now) else { return };
-        let ticket = places.begin(&chosen, Some(&prompt), now);
-        let engine = self.names.iter().position(|name| *name == chosen.upstream).unwrap_or(0);
-        self.tell(router, engine, &chosen);
-        let id = self.count;
-        self.count += 1;
-        let wait_ms = kind.wait_ms;
-        let live = Live {
+        let placer = &mut self.routers[router];
+        let Some(placement) = placer.choose(&placement_request, now) else { return };
+        let dispatch_id = placer.begin(&placement, Some(&prompt), now);
+        let engine = self.names.iter().position(|name| *name == placement.upstream).unwrap_or(0);
+        self.report_dispatch(router, engine, &placement);
+        let id = self.next_id;
+        self.next_id += 1;
+        let timeout_ms = kind.timeout_ms;
+        let open_request = OpenRequest {
             request,
             number,
             retries,
             router,
             engine,
-            ticket,
+            dispatch_id,
             pauses: None,
-            last: 0.0,
+            last_event: 0.0,
             first_ms: 0.0,
             gap_ms: 0.0,
         };
-        self.live.insert(id, live);
-        self.push(self.now + WAY_MS, Event::Reach { engine, id });
-        self.push(self.now + wait_ms, Event::Leave { id });
+        self.open_requests.insert(id, open_request);
+        self.push(self.now + LATENCY_MS, Event::ReachEngine { engine, id });
+        self.push(self.now + timeout_ms, Event::Timeout { id });
     }
 
-    fn tell(&mut self, from: usize, engine: usize, chosen: &Placement) {
+    fn report_dispatch(&mut self, from: usize, engine: usize, placement: &Placement) {
         let count = self.routers.len() as u64;
-        if !self.tellers[from].should_send(chosen.uncached, count, self.now as Millis) {
+        if !self.hint_filters[from].should_send(placement.uncached, count, self.now as Millis) {
             return;
         }
-        let told = self.routers[from].take_hint(chosen);
-        self.outcome.told += count - 1;
+        let hint = self.routers[from].take_hint(placement);
+        self.outcome.received_hints += count - 1;
         for router in (0..self.routers.len()).filter(|router| *router != from) {
-            let told = told.clone();
-            self.push(self.now + WAY_MS, Event::Hear { router, engine, told });
+            let hint = hint.clone();
+            self.push(self.now + LATENCY_MS, Event::ReceiveHint { router, engine, hint });
         }
     }
 
     /// Whether an engine rests, which it tells the router of a request.
-    fn rests(&mut self, engine: usize, router: usize) -> bool {
-        let left = self.rests_until[engine] - self.now;
-        if left <= 0.0 {
+    fn refuse_if_backing_off(&mut self, engine: usize, router: usize) -> bool {
+        let remaining_ms = self.backoff_until[engine] - self.now;
+        if remaining_ms <= 0.0 {
             return false;
         }
         self.outcome.signals.refused += 1;
-        let is_new = self.told_rest.insert((engine, router));
+        let is_new = self.told_backoff.insert((engine, router));
         self.outcome.signals.refused_again += u64::from(!is_new);
-        self.routers[router].back_off(&self.names[engine], left as Millis, self.now as Millis);
+        self.routers[router].back_off(&self.names[engine], remaining_ms as Millis, self.now as Millis);
         true
     }
 
     fn reach(&mut self, engine: usize, id: usize) {
-        let Some(router) = self.live.get(&id).map(|live| live.router) else { return };
-        if self.rests(engine, router) {
+        let Some(router) = self.open_requests.get(&id).map(|open_request| open_request.router) else {
+            return;
+        };
+        if self.refuse_if_backing_off(engine, router) {
             return self.retry(id);
         }
         let is_told = self.leaving[engine].as_ref().is_some_and(|told| told.contains(&router));
-        self.outcome.signals.late += u64::from(is_told);
-        let Some(live) = self.live.get(&id) else { return };
-        let request = &live.request;
+        self.outcome.signals.sent_while_leaving += u64::from(is_told);
+        let Some(open_request) = self.open_requests.get(&id) else { return };
+        let request = &open_request.request;
         let shared = request.parts.len() - 1;
-        let unread = self.engines[engine].unread(&request.parts[..shared]);
-        for part in unread {
-            let is_again = self.used.get(&part.id).is_some_and(|used| self.now - used < AGAIN_MS);
-            self.outcome.again += if is_again { part.tokens } else { 0 };
+        let uncached = self.engines[engine].uncached_parts(&request.parts[..shared]);
+        for part in uncached {
+            let is_reread =
+                self.part_last_used.get(&part.id).is_some_and(|used| self.now - used < EXPECTED_CACHE_MS);
+            self.outcome.reread_tokens += if is_reread { part.tokens } else { 0 };
         }
         for part in &request.parts[..shared] {
-            self.used.insert(part.id, self.now);
+            self.part_last_used.insert(part.id, self.now);
         }
-        let rank = self.scene.kinds[request.kind].rank;
-        let job = Job { id, rank, parts: request.parts.clone(), output: request.output };
+        let priority = self.scenario.kinds[request.kind].priority;
+        let job = Job { id, priority, parts: request.parts.clone(), output_tokens: request.output_tokens };
         if !self.engines[engine].accept(job, self.now) {
             self.close(id, false);
         }
-        self.go_on(engine);
+        self.begin_step(engine);
     }
 
-    fn go_on(&mut self, engine: usize) {
-        if let Some((number, at)) = self.engines[engine].begin(self.now) {
-            self.push(at, Event::Step { engine, number });
+    fn begin_step(&mut self, engine: usize) {
+        if let Some((number, at)) = self.engines[engine].begin_step(self.now) {
+            self.push(at, Event::EndStep { engine, number });
         }
     }
 
     fn end_step(&mut self, engine: usize, number: u64) {
-        for happened in self.engines[engine].end(number, self.now) {
-            match happened {
-                Happened::First(id) => self.event(id),
-                Happened::Event(id) => self.event(id),
-                Happened::End(id) => {
-                    self.event(id);
+        for step_event in self.engines[engine].end_step(number, self.now) {
+            match step_event {
+                StepEvent::First(id) => self.record_event(id),
+                StepEvent::Next(id) => self.record_event(id),
+                StepEvent::Last(id) => {
+                    self.record_event(id);
                     self.close(id, true);
                 }
             }
         }
-        self.go_on(engine);
+        self.begin_step(engine);
     }
 
-    fn event(&mut self, id: usize) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let places = &mut self.routers[live.router];
-        let (name, now) = (&self.names[live.engine], self.now as Millis);
-        match &mut live.pauses {
+    fn record_event(&mut self, id: usize) {
+        let Some(open_request) = self.open_requests.get_mut(&id) else { return };
+        let placer = &mut self.routers[open_request.router];
+        let (name, now) = (&self.names[open_request.engine], self.now as Millis);
+        match &mut open_request.pauses {
             None => {
-                live.pauses = Some(PauseTracker::new(self.now));
-                live.first_ms = self.now - live.request.arrived;
-                if let Some(told) = &mut self.leaving[live.engine] {
-                    told.insert(live.router);
-                    places.mark_leaving(name, now);
+                open_request.pauses = Some(PauseTracker::new(self.now));
+                open_request.first_ms = self.now - open_request.request.arrived;
+                if let Some(told) = &mut self.leaving[open_request.engine] {
+                    told.insert(open_request.router);
+                    placer.mark_leaving(name, now);
                 }
-                places.record_first_answer(name, live.ticket, now);
+                placer.record_first_answer(name, open_request.dispatch_id, now);
             }
             Some(pauses) => {
-                live.gap_ms = live.gap_ms.max(self.now - live.last);
+                open_request.gap_ms = open_request.gap_ms.max(self.now - open_request.last_event);
                 match pauses.record(self.now) {
-                    PauseKind::Baseline(ms) => places.record_baseline_pause(name, ms),
-                    PauseKind::Long(ms) => places.record_pause(name, ms, now),
+                    PauseKind::Baseline(ms) => placer.record_baseline_pause(name, ms),
+                    PauseKind::Long(ms) => placer.record_pause(name, ms, now),
                     PauseKind::Normal => {}
                 }
             }
         }
-        live.last = self.now;
+        open_request.last_event = self.now;
     }
 
-    fn leave(&mut self, id: usize) {
-        let Some(live) = self.live.get(&id) else { return };
-        let engine = live.engine;
+    fn time_out(&mut self, id: usize) {
+        let Some(open_request) = self.open_requests.get(&id) else { return };
+        let engine = open_request.engine;
         self.engines[engine].cancel(id);
         self.close(id, false);
     }
 
     fn close(&mut self, id: usize, is_complete: bool) {
-        let Some(live) = self.live.remove(&id) else { return };
+        let Some(open_request) = self.open_requests.remove(&id) else { return };
         let now = self.now as Millis;
-        self.routers[live.router].end(&self.names[live.engine], live.ticket, now);
+        self.routers[open_request.router].end(
+            &self.names[open_request.engine],
+            open_request.dispatch_id,
+            now,
+        );
         if is_complete {
-            let messages = self.watch.outlived(live.router, live.number, self.now, &mut self.random);
-            self.send(messages);
+            let events = self.quarantine.record_survival(
+                open_request.router,
+                open_request.number,
+                self.now,
+                &mut self.random,
+            );
+            self.schedule(events);
         }
-        if live.request.arrived < self.scene.warm_ms {
+        if open_request.request.arrived < self.scenario.warmup_ms {
             return;
         }
-        let kind = &self.scene.kinds[live.request.kind];
-        let share = &mut self.outcome.kinds[live.request.kind];
-        share.asked += 1;
+        let kind = &self.scenario.kinds[open_request.request.kind];
+        let kind_outcome = &mut self.outcome.kinds[open_request.request.kind];
+        kind_outcome.requests += 1;
         match is_complete {
-            false => share.failed += 1,
-            true if live.first_ms > kind.target_ms as f64 => share.late_first += 1,
-            true if live.gap_ms > kind.gap_ms as f64 => share.late_gap += 1,
-            true => share.in_time += 1,
+            false => kind_outcome.failed += 1,
+            true if open_request.first_ms > kind.target_ms as f64 => kind_outcome.late_first += 1,
+            true if open_request.gap_ms > kind.gap_ms as f64 => kind_outcome.late_gap += 1,
+            true => kind_outcome.in_time += 1,
         }
     }
 }
--- a/crates/route/examples/told.rs
+++ b/crates/route/examples/told.rs
@@ -5,7 +5,7 @@
 //! Simulates 845 prompts per second on 160 engines, with three seeds for each rate at which a router is told
 //! of dispatches.
 
-use emulator::{Outcome, Scene, plains, play};
+use emulator::{Outcome, Scenario, large_fleet, simulate};
 use route::HintFilter;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
@@ -17,18 +17,18 @@
     };
     for rate in rates {
         let teller = HintFilter::with_rates(*rate, *rate);
-        let scene = |seed| Scene { teller, ..plains(seed, *routers as usize) };
-        let outcomes: Vec<Outcome> = SEEDS.map(|seed| play(&scene(seed))).collect();
+        let scene = |seed| Scenario { hint_filter: teller, ..large_fleet(seed, *routers as usize) };
+        let outcomes: Vec<Outcome> = SEEDS.map(|seed| simulate(&scene(seed))).collect();
         let mean = |figure: &dyn Fn(&Outcome) -> f64| {
             outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
         };
         let late =
-            ["narrative", "summary", "check"].map(|kind| 1.0 - mean(&|outcome| outcome.of(kind).in_time()));
+            ["narrative", "summary", "check"].map(|kind| 1.0 - mean(&|outcome| outcome.kind(kind).in_time()));
         println!(
             "routers={routers} per-s={rate} worth={:.4} not-in-time={late:.3?} heard={:.0} read-again={:.0}",
             mean(&|outcome| outcome.worth()),
-            mean(&|outcome| outcome.told as f64) / routers,
-            mean(&|outcome| outcome.again as f64),
+            mean(&|outcome| outcome.received_hints as f64) / routers,
+            mean(&|outcome| outcome.reread_tokens as f64),
         );
     }
 }
--- a/crates/route/examples/warming.rs
+++ b/crates/route/examples/warming.rs
@@ -5,25 +5,29 @@
 //! Simulates that a third of all upstreams return together, with twenty seeds for each method and size of the
 //! fleet.
 
-use emulator::{Bound, Received, Return, play_return};
+use emulator::{LimitMethod, RestartOutcome, RestartScenario, simulate_restart};
 
 const SEEDS: u64 = 20;
 const FLEETS: [usize; 5] = [6, 22, 87, 295, 1_400];
-const BOUNDS: [Bound; 4] = [Bound::None, Bound::Heard, Bound::EqualParts, Bound::Ring];
+const BOUNDS: [LimitMethod; 4] =
+    [LimitMethod::None, LimitMethod::Heard, LimitMethod::EqualParts, LimitMethod::Ring];
 
 fn main() {
     println!("gateways bound cut worst-second used datagrams-per-s-and-gateway");
     for gateways in FLEETS {
         for bound in BOUNDS {
             for cut in [0, gateways / 3] {
-                let scene = Return { gateways, upstreams: 30, per_s: 420.0, bound, cut };
-                let runs: Vec<Received> = (0..SEEDS).map(|seed| play_return(seed, &scene)).collect();
-                let mean =
-                    |figure: fn(&Received) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
+                let scene =
+                    RestartScenario { gateways, upstreams: 30, per_s: 420.0, method: bound, isolated: cut };
+                let runs: Vec<RestartOutcome> =
+                    (0..SEEDS).map(|seed| simulate_restart(seed, &scene)).collect();
+                let mean = |figure: fn(&RestartOutcome) -> f64| {
+                    runs.iter().map(figure).sum::<f64>() / runs.len() as f64
+                };
                 println!(
                     "{gateways} {bound:?} {cut} {} {:.2} {:.1}",
-                    runs.iter().map(|received| received.worst_second).max().unwrap_or(0),
-                    mean(|received| received.used),
+                    runs.iter().map(|received| received.max_per_second).max().unwrap_or(0),
+                    mean(|received| received.used_share),
                     mean(|received| received.datagrams_per_s) / gateways as f64,
                 );
             }
--- a/crates/route/tests/warmup.rs
+++ b/crates/route/tests/warmup.rs
@@ -6,7 +6,7 @@
 
 mod fleet;
 
-use emulator::{Bound, Return, play_return};
+use emulator::{LimitMethod, RestartScenario, simulate_restart};
 use fleet::{READ_INTERVAL, UPSTREAMS, max_within, upstream, upstream_info};
 use route::Millis;
 use route::placement::{PlacementRequest, Placer};
@@ -143,15 +143,16 @@
 
 /// The most requests that one upstream receives in a second when a third of them restart together, over all
 /// seeds.
-fn worst_return(gateways: usize, bound: Bound, seeds: std::ops::Range<u64>) -> u32 {
-    let scene = Return { gateways, upstreams: 30, per_s: 420.0, bound, cut: gateways / 6 };
-    seeds.map(|seed| play_return(seed, &scene).worst_second).max().unwrap_or(0)
+fn worst_return(gateways: usize, bound: LimitMethod, seeds: std::ops::Range<u64>) -> u32 {
+    let scene =
+        RestartScenario { gateways, upstreams: 30, per_s: 420.0, method: bound, isolated: gateways / 6 };
+    seeds.map(|seed| simulate_restart(seed, &scene).max_per_second).max().unwrap_or(0)
 }
 
 /// With only its own counts at each gateway, the worst second of 20 such restarts has 28 requests, where 19.9
 /// are allowed and 9.9 can be handled. With the hash ring, it has 9.
 #[test]
 fn in_a_thousand_restarts_of_a_third_of_all_upstreams_none_gets_more_than_its_limit() {
-    assert!(worst_return(87, Bound::Ring, 0..1_000) <= PER_S as u32);
-    assert!(worst_return(87, Bound::None, 0..10) > 20);
+    assert!(worst_return(87, LimitMethod::Ring, 0..1_000) <= PER_S as u32);
+    assert!(worst_return(87, LimitMethod::None, 0..10) > 20);
 }
