--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,54 +1,56 @@
-//! A model of a continuously batching engine: steps that make one token for each run and read a piece of a prompt,
-//! a cache of prompt parts that gives way by age, and preemption when its memory is full.
+//! A model of an engine with continuous batching. Each step generates one token for each run and reads a
+//! chunk of the waiting prompts. Prompt parts are cached and evicted in LRU order, and runs are preempted
+//! when the memory is full.
 
 use std::collections::{HashMap, VecDeque};
 
-/// What an engine is built of.
+/// The size and speed of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Runs in a batch.
+    /// The largest number of runs in a batch.
     pub slots: usize,
-    /// Requests that may wait beside them.
+    /// The largest number of requests that wait for a slot.
     pub queue_capacity: usize,
-    /// Milliseconds of a step.
+    /// The fixed duration of a step, in milliseconds.
     pub base_step_ms: f64,
-    /// Milliseconds that each run adds to a step.
+    /// The time that each run adds to a step, in milliseconds.
     pub step_ms_per_run: f64,
-    /// Milliseconds that each thousand tokens of the runs' memory add to a step.
+    /// The time that each thousand tokens of context, over all runs, add to a step, in milliseconds.
     pub step_ms_per_1k_context: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens read per millisecond.
     pub read_tokens_per_ms: f64,
-    /// Milliseconds for a million pairs of a token that is read and one before it.
+    /// The time that attention adds while a prompt is read, in milliseconds per million pairs of a token that
+    /// is read and one before it.
     pub step_ms_per_m_pairs: f64,
-    /// Prompt tokens read in one step at most.
+    /// The most prompt tokens read in one step.
     pub max_read_tokens: u64,
-    /// Milliseconds between the end of reading and the first event.
+    /// The time between the end of reading and the first event, in milliseconds.
     pub first_event_delay_ms: f64,
-    /// Tokens in an event.
+    /// The number of tokens in an event.
     pub tokens_per_event: u64,
-    /// Tokens that fit into memory.
+    /// The number of tokens that fit into memory.
     pub memory_tokens: u64,
 }
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct Part {
-    /// Its identity.
+    /// The identity of the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length of the part, in tokens.
     pub tokens: u64,
 }
 
-/// A request as an engine gets it.
+/// A request as an engine receives it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The caller's number of it.
+    /// The caller's identifier of the request.
     pub id: usize,
-    /// Its rank, 0 first.
+    /// The priority; the lowest number is served first.
     pub priority: u32,
-    /// The parts of its prompt.
+    /// The parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// Tokens that come out.
+    /// The number of tokens to generate.
     pub output_tokens: u64,
 }
 
@@ -56,61 +58,62 @@
 struct Run {
     job: Job,
     input_tokens: u64,
-    /// Prompt tokens in memory so far.
+    /// The number of prompt tokens in memory.
     read_tokens: u64,
     generated: u64,
-    /// When its first event may come, in milliseconds.
+    /// The earliest time of the first event, in milliseconds; infinite until the prompt is read.
     first_event_at: f64,
-    /// Whether its first event came.
+    /// Whether the first event has been sent.
     has_begun: bool,
 }
 
-/// What a step brought.
+/// An event of a job at the end of a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StepEvent {
     /// The first event of a job.
     First(usize),
-    /// A further event.
+    /// An event between the first and the last one.
     Next(usize),
     /// The last event of a job.
     Last(usize),
 }
 
-/// Counts of what an engine did.
+/// Totals of an engine's work.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineCounters {
-    /// Prompt tokens read.
+    /// The number of prompt tokens read.
     pub read_tokens: u64,
-    /// Runs that lost their memory to others.
+    /// The number of runs preempted to free memory.
     pub preemptions: u64,
 }
 
-/// A part in the cache.
+/// A cached prompt part.
 #[derive(Clone, Copy, Debug)]
 struct CachedPart {
     tokens: u64,
     last_used: f64,
 }
 
-/// An engine.
+/// An engine and its state.
 #[derive(Clone, Debug)]
 pub struct Engine {
     spec: EngineSpec,
-    /// How many times slower than its specification it is.
+    /// The factor by which the engine is slower than its specification.
     pub slowdown: f64,
-    /// Whether it answers nothing.
+    /// Whether the engine is down, so that no step begins.
     pub is_down: bool,
     runs: Vec<Run>,
     waiting: VecDeque<Job>,
     cache: HashMap<u64, CachedPart>,
     counters: EngineCounters,
-    /// The step that is under way: its number, and tokens that it reads by run.
+    /// The number of the current step. A crash increments it too, so that the end of a step that began before
+    /// the crash is ignored.
     step: u64,
     is_stepping: bool,
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(spec: EngineSpec, slowdown: f64) -> Engine {
         Engine {
             spec,
@@ -125,17 +128,17 @@
         }
     }
 
-    /// What it read.
+    /// The totals of the work so far.
     pub fn counters(&self) -> EngineCounters {
         self.counters
     }
 
-    /// Jobs that run.
+    /// The number of jobs in the batch.
     pub fn running_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Takes a job; `false` if it is full.
+    /// Runs a job, or queues it by priority if all slots are taken. Returns `false` if the queue is full.
     pub fn accept(&mut self, job: Job, now: f64) -> bool {
         if self.runs.len() < self.spec.slots {
             self.start(job, now);
@@ -150,13 +153,13 @@
         true
     }
 
-    /// Ends a job whose caller left.
+    /// Removes a job whose caller disconnected.
     pub fn cancel(&mut self, id: usize) {
         self.runs.retain(|run| run.job.id != id);
         self.waiting.retain(|job| job.id != id);
     }
 
-    /// Loses all that it has; the ids of the jobs.
+    /// Drops all jobs and the cache. Returns the identifiers of the jobs.
     pub fn crash(&mut self) -> Vec<usize> {
         let lost = self.runs.drain(..).map(|run| run.job.id).chain(self.waiting.drain(..).map(|job| job.id));
         let lost = lost.collect();
@@ -166,7 +169,8 @@
         lost
     }
 
-    /// Begins a step, if there is work and none is under way: its number and its end in milliseconds.
+    /// Begins a step if there is work and none is in progress. Returns the number of the step, and the time
+    /// at which it ends, in milliseconds.
     pub fn begin_step(&mut self, now: f64) -> Option<(u64, f64)> {
         if self.is_stepping || self.is_down || self.runs.is_empty() {
             return None;
@@ -191,7 +195,7 @@
         Some((self.step, now + ms * self.slowdown))
     }
 
-    /// The prompt tokens that the next step reads, by run: prompts are read in the order in which they came.
+    /// The prompt tokens to read in a step, by index of the run. Prompts are read in the order of arrival.
     fn plan_reads(&self) -> Vec<(usize, u64)> {
         let mut remaining = self.spec.max_read_tokens;
         let mut plan = vec![];
@@ -205,7 +209,7 @@
         plan
     }
 
-    /// Ends a step; what it brought.
+    /// Ends a step and returns the events that it generated.
     pub fn end_step(&mut self, step: u64, now: f64) -> Vec<StepEvent> {
         if step != self.step || !self.is_stepping {
             return vec![];
@@ -245,7 +249,7 @@
     fn start(&mut self, job: Job, now: f64) {
         let input_tokens = job.parts.iter().map(|part| part.tokens).sum();
         let cached = self.touch_cached(&job.parts, now);
-        // At least one token is read, so that there is a first answer.
+        // At least one token has to be read to generate the first output token.
         let read_tokens = cached.min(input_tokens - 1);
         self.runs.push(Run {
             job,
@@ -257,13 +261,14 @@
         });
     }
 
-    /// The parts of a prompt that would have to be read.
+    /// The parts of a prompt after its longest cached prefix.
     pub fn uncached_parts<'a>(&self, parts: &'a [Part]) -> &'a [Part] {
         let cached = parts.iter().take_while(|part| self.cache.contains_key(&part.id)).count();
         &parts[cached..]
     }
 
-    /// Prompt tokens that are kept: a part counts only if all parts before it are kept.
+    /// Marks the longest cached prefix of a prompt as used and returns its length in tokens. A part that
+    /// follows an uncached one does not count.
     fn touch_cached(&mut self, parts: &[Part], now: f64) -> u64 {
         let mut tokens = 0;
         for part in parts {
@@ -282,7 +287,8 @@
         }
     }
 
-    /// Drops the parts that were unused the longest, then preempts, until all fits.
+    /// Evicts the least recently used parts, then preempts the runs with the lowest priority, the newest ones
+    /// first, until the rest fits into memory.
     fn free_memory(&mut self) {
         let running: u64 = self.runs.iter().map(|run| run.read_tokens + run.generated).sum();
         let mut cached: u64 = self.cache.values().map(|cached| cached.tokens).sum();
@@ -304,7 +310,8 @@
     }
 }
 
-/// Makes a token, unless the first one is not ready.
+/// Generates a token, unless the first event is not due yet. Returns the event that the token completes, if
+/// any.
 fn advance(run: &mut Run, tokens_per_event: u64, now: f64) -> Option<StepEvent> {
     if now < run.first_event_at {
         return None;
--- a/crates/emulator/src/harmful.rs
+++ b/crates/emulator/src/harmful.rs
@@ -1,4 +1,5 @@
-//! Requests that end their engines, engines that end by themselves, and what routers make of both.
+//! Requests that crash their engines, engines that crash on their own, and the quarantines of the routers,
+//! which exchange notices about suspects.
 
 use crate::engine::Engine;
 use crate::outcome::HarmfulOutcome;
@@ -8,35 +9,38 @@
 use route::notice::{FollowUp, Notice, NoticeLimiter, Recipients, coordinators};
 use route::quarantine::{DECISION_DELAY_MS, DENIAL_THRESHOLD, Fingerprint, Quarantine, Stage, Verdict};
 
-/// The request that ends its engines.
+/// The number of the request that crashes its engines.
 const HARMFUL: u64 = u64::MAX;
-/// How long an engine is down, in milliseconds.
+/// How long an engine is down after a crash, in milliseconds.
 pub(crate) const DOWNTIME_MS: f64 = 3_000.0;
-/// From a dispatch until the engine ends that begins to run it, in milliseconds.
+/// The time from the dispatch of the harmful request to the crash of its engine, in milliseconds.
 pub(crate) const CRASH_DELAY_MS: f64 = 60.0;
-/// Messages between routers that are lost.
+/// The share of messages between routers that are lost.
 const LOSS_RATE: f64 = 0.03;
-/// When each word is sent, in milliseconds after the first time.
+/// The times at which each notice is sent, in milliseconds after the first one. It is repeated since messages
+/// may be lost.
 const SEND_DELAYS_MS: [f64; 3] = [0.0, 50.0, 750.0];
-/// The time within which all routers know what one knows, in milliseconds.
+/// The time within which all routers should know what one of them knows, in milliseconds.
 const PROPAGATION_MS: f64 = 3_000.0;
 
-/// What a router is to take in later.
+/// An event that a router handles at a later time.
 pub(crate) struct RouterEvent {
     pub(crate) at: f64,
     pub(crate) router: usize,
-    /// Another one's word; `None` if its own time to decide has come.
+    /// The notice that arrives from another router; `None` if a decision of this router is due.
     pub(crate) notice: Option<Notice>,
 }
 
-/// What the routers know, and what came of it.
+/// The quarantines of all routers, and what became of the harmful request.
 pub(crate) struct QuarantineSimulation {
     quarantines: Vec<Quarantine>,
     limiters: Vec<NoticeLimiter>,
     names: Vec<String>,
-    /// How often each engine ended: another life of it has another name.
+    /// How often each engine has crashed. The number is part of the upstream's name, since a restarted engine
+    /// counts as a different upstream.
     crash_counts: Vec<u32>,
-    /// When the third engine ended.
+    /// The time at which the number of engines that crashed under the harmful request reached
+    /// [`DENIAL_THRESHOLD`].
     threshold_crash: Option<f64>,
     pub(crate) outcome: HarmfulOutcome,
 }
@@ -60,7 +64,7 @@
         }
     }
 
-    /// Whether a router lets a deadly request run.
+    /// Whether a router dispatches the harmful request.
     pub(crate) fn admits_harmful(&mut self, router: usize, now: f64) -> bool {
         self.outcome.received += 1;
         let verdict = self.quarantines[router].verdict(fingerprint(HARMFUL), now as Millis);
@@ -69,7 +73,7 @@
         is_admitted
     }
 
-    /// Whether a router lets another request run.
+    /// Whether a router dispatches a request other than the harmful one.
     pub(crate) fn admits(&mut self, router: usize, number: u64, now: f64) -> bool {
         if self.quarantines[router].is_empty() {
             return true;
@@ -80,7 +84,7 @@
         !is_denied
     }
 
-    /// Takes in that an engine outlived a request.
+    /// Records that an engine survived a request. Returns the events that follow.
     pub(crate) fn record_survival(
         &mut self,
         router: usize,
@@ -98,8 +102,9 @@
         events
     }
 
-    /// Ends an engine under the deadly request of a router, or by itself, with the runs of others there: their routers, numbers and the
-    /// time since their first answers. What the routers say then.
+    /// Records the crash of an engine: under the harmful request, which the router `cause` dispatched, or on
+    /// its own if there is no `cause`. `bystanders` holds the router and the number of each other run on the
+    /// engine, and the time since its first answer. Returns the events that follow.
     pub(crate) fn record_crash(
         &mut self,
         engine: usize,
@@ -130,7 +135,7 @@
         events
     }
 
-    /// Takes in what another router said.
+    /// Applies a notice from another router. Returns the events that follow.
     pub(crate) fn receive(
         &mut self,
         router: usize,
@@ -146,7 +151,7 @@
         events
     }
 
-    /// Decides on suspects whose time has come.
+    /// Decides on the suspects whose decision is due. Returns the events that follow.
     pub(crate) fn decide(&mut self, router: usize, now: f64, random: &mut SmallRng) -> Vec<RouterEvent> {
         let mut events = vec![];
         for denied in self.quarantines[router].decide(now as Millis) {
@@ -163,7 +168,7 @@
         events
     }
 
-    /// Takes down when all routers deny the deadly request.
+    /// Records the time at which all routers deny the harmful request for the first time.
     fn update_denied_everywhere(&mut self, now: f64) {
         let Some(threshold_crash) = self.threshold_crash.filter(|_| self.outcome.denied_everywhere_ms == 0.0)
         else {
@@ -219,7 +224,7 @@
     }
 }
 
-/// The runs that an engine loses when it ends, with whether it was up.
+/// Takes an engine down. Returns the identifiers of the jobs that it loses.
 pub(crate) fn crash(engine: &mut Engine) -> Vec<usize> {
     engine.is_down = true;
     engine.crash()
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,8 @@
-//! Engines, callers and routers in virtual time, so that the decisions of [`route`] can be played on a load.
+//! Discrete-event simulation of engines, callers and routers, to evaluate the decisions of [`route`] under
+//! load.
 //!
-//! The engine model follows what the users' pages say of their engines; nothing of it is known to the routers, which
-//! run the same code as in the programs.
+//! The engine model follows the descriptions of the engines on the users' pages. The routers know nothing of
+//! it; they run the same decision code as the programs.
 
 mod engine;
 mod harmful;
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,89 +1,89 @@
-//! The load: kinds of requests, how large they are and when they come.
+//! The load: kinds of requests, their sizes and their rates.
 
 use crate::engine::Part;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A size that varies by a factor.
+/// A log-normal distribution of sizes with a maximum.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeDistribution {
-    /// Its mean.
+    /// The mean before the maximum is applied.
     pub mean: f64,
-    /// The standard deviation of its logarithm.
+    /// The standard deviation of the logarithm.
     pub log_std_dev: f64,
-    /// The largest.
+    /// The maximum; larger samples are reduced to it.
     pub max: f64,
 }
 
 impl SizeDistribution {
-    /// A size that does not vary.
+    /// A distribution of a single value.
     pub const fn fixed(mean: f64) -> SizeDistribution {
         SizeDistribution { mean, log_std_dev: 0.0, max: mean }
     }
 
-    /// Draws one; at least 1.
+    /// Samples a size of at least 1.
     pub fn sample(&self, random: &mut SmallRng) -> u64 {
-        // The logarithm's mean is such that the mean is as given.
+        // The mean of the logarithm at which the sizes have the given mean.
         let log_mean = self.mean.ln() - self.log_std_dev * self.log_std_dev / 2.0;
         let value = (log_mean + self.log_std_dev * sample_normal(random)).exp();
         value.clamp(1.0, self.max) as u64
     }
 }
 
-/// A standard normal variable, by the sum of twelve uniform ones.
+/// Samples an approximate standard normal distribution, as the sum of twelve uniform variables.
 fn sample_normal(random: &mut SmallRng) -> f64 {
     (0..12).map(|_| random.r#gen::<f64>()).sum::<f64>() - 6.0
 }
 
-/// A level of shared prompt parts.
+/// One level of prompt parts that several requests share.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedParts {
-    /// How long each of them is.
+    /// The length of each part, in tokens.
     pub tokens: SizeDistribution,
-    /// How many there are.
+    /// The number of different parts.
     pub count: u64,
 }
 
 /// A kind of request to an engine.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
-    /// Its name.
+    /// The name of the kind.
     pub name: &'static str,
-    /// Requests in a second at load 1.
+    /// Requests per second at load 1.
     pub per_s: f64,
-    /// The rank, 0 first.
+    /// The priority; the lowest number is served first.
     pub priority: u32,
-    /// The part of the prompt that is its own.
+    /// The length of the part that belongs to one request alone, in tokens.
     pub own_tokens: SizeDistribution,
-    /// The shared parts before it, the outer level first.
+    /// The shared parts before it, from the outermost level to the innermost one.
     pub shared_parts: Vec<SharedParts>,
-    /// Events that come out.
+    /// The number of events in the answer.
     pub events: SizeDistribution,
-    /// The time to a first answer that is aimed at, in milliseconds.
+    /// The target for the time to the first answer, in milliseconds.
     pub target_ms: u64,
-    /// The longest pause that is aimed at, in milliseconds.
+    /// The target for the longest pause between events, in milliseconds.
     pub gap_ms: u64,
-    /// How long a caller waits for the whole, in milliseconds.
+    /// How long a caller waits for the whole answer, in milliseconds.
     pub timeout_ms: f64,
-    /// What one answer in time is worth, and one that is late.
+    /// The worth of an answer in time, and that of a late one.
     pub worth: (f64, f64),
 }
 
-/// A request.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its kind, by its place in the mix.
+    /// The index of its kind in the scenario.
     pub kind: usize,
-    /// When it came, in milliseconds.
+    /// When it arrived, in milliseconds.
     pub arrived: f64,
-    /// The parts of its prompt.
+    /// The parts of its prompt, in order.
     pub parts: Vec<Part>,
-    /// Tokens that come out.
+    /// The number of tokens to generate.
     pub output_tokens: u64,
 }
 
 impl RequestKind {
-    /// Draws a request of this kind, which stands at `index` of the mix.
+    /// Samples a request of this kind, whose index in the scenario is `index`.
     pub fn sample(
         &self,
         index: usize,
@@ -91,7 +91,7 @@
         tokens_per_event: u64,
         random: &mut SmallRng,
     ) -> Request {
-        // Each inner part belongs to one outer part.
+        // Each innermost part always follows the same outer parts.
         let inner = self.shared_parts.last().map_or(0, |shared| random.gen_range(0..shared.count));
         let shared = self.shared_parts.iter().enumerate();
         let mut parts: Vec<Part> = shared
@@ -105,7 +105,7 @@
     }
 }
 
-/// The identity of a shared part; its length follows from it.
+/// The identity of a shared part, which is also the seed of its length.
 fn part_id(kind: usize, level: usize, part: u64) -> u64 {
     (kind as u64 + 1) << 40 | (level as u64) << 32 | part
 }
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -1,79 +1,82 @@
-//! What callers got.
+//! The results of a simulation.
 
 use crate::load::RequestKind;
 
-/// What the callers of one kind of request got.
+/// The results for one kind of request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KindOutcome {
-    /// Requests.
+    /// The number of requests.
     pub requests: u64,
-    /// Answered in time.
+    /// Requests answered in time.
     pub in_time: u64,
-    /// Answered, the first answer late.
+    /// Requests answered with a late first event.
     pub late_first: u64,
-    /// Answered, a pause too long.
+    /// Requests answered with a first event in time, but a pause that was too long.
     pub late_gap: u64,
-    /// Not answered.
+    /// Requests not answered completely.
     pub failed: u64,
 }
 
 impl KindOutcome {
-    /// The share that was answered in time.
+    /// The share of requests that were answered in time.
     pub fn in_time(&self) -> f64 {
         self.in_time as f64 / self.requests.max(1) as f64
     }
 }
 
-/// What a scene showed.
+/// The results of a scenario.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// By kind of request, with the names and worths.
+    /// The results for each kind of request, in the order of the scenario.
     pub kinds: Vec<KindOutcome>,
     names: Vec<&'static str>,
     worths: Vec<(f64, f64)>,
-    /// Prompt tokens that were read.
+    /// Prompt tokens that the engines read.
     pub read_tokens: u64,
-    /// Tokens of shared parts that were read again.
+    /// Tokens of shared parts that an engine had to read although the part had been used shortly before, so
+    /// that some engine should still have had it in its cache.
     pub reread_tokens: u64,
-    /// Runs that lost their memory to others.
+    /// Runs preempted to free memory.
     pub preemptions: u64,
-    /// Dispatches that routers heard of from others, by all of them together.
+    /// Reports of other routers' dispatches, summed over all routers that receive them.
     pub received_hints: u64,
-    /// What came of requests that end their engines.
+    /// The results for the request that crashes its engines.
     pub harmful: HarmfulOutcome,
-    /// What came of engines that leave or rest by their own word.
+    /// The results for engines that report that they leave or back off.
     pub signals: SignalOutcome,
 }
 
-/// What came of engines that leave or rest by their own word.
+/// The results for engines that report that they leave or back off.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SignalOutcome {
-    /// Requests that an engine refused since it rests.
+    /// Requests that an engine refused while it backed off.
     pub refused: u64,
-    /// Of these, those that came from a router which it had told so.
+    /// The part of these that came from a router which the engine had already told of the back-off.
     pub refused_again: u64,
-    /// Requests that reached an engine from a router which an answer of it had told that it leaves.
+    /// Requests that reached a leaving engine from a router which one of its answers had told that it leaves.
     pub sent_while_leaving: u64,
-    /// Runs that were lost when an engine which had said that it leaves ended.
+    /// Runs lost when a leaving engine ended.
     pub lost_runs: u64,
 }
 
-/// What came of requests that end their engines.
+/// The results for the request that crashes its engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HarmfulOutcome {
-    /// Attempts that came.
+    /// Attempts that reached a router.
     pub received: u64,
-    /// Attempts that were denied.
+    /// Attempts that a router denied.
     pub denied: u64,
-    /// Engines that ended under them.
+    /// Engines that crashed under it.
     pub crashed: u64,
-    /// Engines that ended under them later than the time in which all routers know what one knows, after the third.
+    /// Engines that crashed under it although enough had crashed to deny it and all routers had had the time
+    /// to learn of that.
     pub crashed_late: u64,
-    /// Other requests that were denied.
+    /// Denials of other requests.
     pub others_denied: u64,
-    /// Words on them that routers heard from others, by all of them together.
+    /// Notices from other routers, summed over all routers that received them.
     pub received_notices: u64,
-    /// From the third end until each router denies it, in milliseconds; 0 if that was not reached.
+    /// The time from the crash that reached the denial threshold until all routers denied the request, in
+    /// milliseconds; 0 if they never all did.
     pub denied_everywhere_ms: f64,
 }
 
@@ -92,13 +95,13 @@
         }
     }
 
-    /// What the callers of one kind got.
+    /// The results for the kind of request with this name.
     pub fn kind(&self, name: &str) -> KindOutcome {
         let index = self.names.iter().position(|other| *other == name);
         index.map_or(KindOutcome::default(), |index| self.kinds[index])
     }
 
-    /// The share of the worth of all requests that was earned.
+    /// The earned share of the worth that all requests have if answered in time.
     pub fn worth(&self) -> f64 {
         let pairs = || self.kinds.iter().zip(&self.worths);
         let earned: f64 = pairs()
--- a/crates/emulator/src/restart.rs
+++ b/crates/emulator/src/restart.rs
@@ -1,7 +1,8 @@
-//! Upstreams that come back together and warm up, before gateways that share no counts.
+//! Upstreams that restart together and warm up, behind gateways that share no counts.
 //!
-//! To each gateway such an upstream looks idle, so every request goes to one of them if it may. The play counts what each upstream
-//! gets in its worst second, and what all of them get of what they would bear.
+//! Such an upstream looks idle to each gateway, so every request goes to one of them if it is allowed to. The
+//! simulation counts the requests that an upstream receives in its worst second, and how much of their
+//! capacity all of them use.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -12,51 +13,51 @@
 
 /// How long the upstreams warm up, in milliseconds.
 const WARMUP_MS: u64 = 3_000;
-/// What an upstream bears in a second while it warms up.
+/// The requests per second that an upstream can handle while it warms up.
 const LIMIT_PER_S: f64 = 9.9;
-/// The time that a datagram takes, in milliseconds.
+/// The latency of a datagram, in milliseconds.
 const LATENCY_MS: u64 = 2;
-/// The part of datagrams that is lost.
+/// The share of datagrams that are lost.
 const LOSS_RATE: f64 = 0.01;
 /// The service of the upstreams.
 const SERVICE: &str = "narrator";
 
-/// How gateways keep to what an upstream bears.
+/// How gateways limit the requests to an upstream that warms up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitMethod {
-    /// They don't: each takes the one that got the least from itself.
+    /// Without a limit: each gateway chooses the upstream that received the fewest requests from it.
     None,
-    /// Each counts what it sent itself and what it hears of the others' dispatches.
+    /// Each gateway counts its own dispatches and those that other gateways report to it.
     Heard,
-    /// Each sends an equal part, by the number of gateways.
+    /// Each gateway sends an equal part of the limit, but at least one request per second.
     EqualParts,
-    /// Each takes its part by the hash ring.
+    /// Each gateway sends the part that the hash ring of [`route::roster`] assigns to it.
     Ring,
 }
 
-/// Upstreams that come back.
+/// Upstreams that restart together.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartScenario {
-    /// Gateways.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Upstreams that come back together.
+    /// The number of upstreams that restart together.
     pub upstreams: usize,
-    /// Requests in a second, through all gateways.
+    /// Requests per second, through all gateways together.
     pub per_s: f64,
-    /// How gateways keep to what they bear.
+    /// How the gateways limit the requests to an upstream.
     pub method: LimitMethod,
-    /// Gateways that hear nothing and are not heard.
+    /// The number of gateways that neither receive nor send reports of dispatches.
     pub isolated: usize,
 }
 
-/// What the upstreams got.
+/// What the upstreams received while they warmed up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RestartOutcome {
-    /// The most requests that one got in a second.
+    /// The most requests that one upstream received in a second.
     pub max_per_second: u32,
-    /// The part of what they bear in all that they got.
+    /// The requests that all upstreams received, as a share of those that they could handle.
     pub used_share: f64,
-    /// Datagrams in a second, of all gateways together.
+    /// Datagrams per second, from all gateways together.
     pub datagrams_per_s: f64,
 }
 
@@ -82,12 +83,13 @@
     placer
 }
 
-/// Plays the time for which the upstreams warm up, once the gateways have known each other for a while.
+/// Simulates the warm-up of the upstreams, from the time at which the gateways have known each other for
+/// [`SPAN_MS`] on.
 pub fn simulate_restart(seed: u64, scenario: &RestartScenario) -> RestartOutcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut gateways: Vec<Placer> =
         (0..scenario.gateways).map(|index| new_gateway(index, scenario)).collect();
-    // What each gateway knows that an upstream got, and when.
+    // The times of the dispatches to each upstream that each gateway knows of.
     let mut known_dispatches: Vec<Vec<VecDeque<u64>>> =
         vec![vec![VecDeque::new(); scenario.upstreams]; scenario.gateways];
     let mut in_flight: VecDeque<(u64, usize, usize)> = VecDeque::new();
@@ -142,7 +144,7 @@
     }
 }
 
-/// Sends a request by the gateway's own choice.
+/// Dispatches a request by the gateway's own choice.
 fn choose_by_ring(placer: &mut Placer, now: u64) -> Option<usize> {
     let chosen = placer.choose(&PlacementRequest { service: SERVICE, prompt: None, avoid: &[] }, now)?;
     let ticket = placer.begin(&chosen, None, now);
--- a/crates/emulator/src/scenarios.rs
+++ b/crates/emulator/src/scenarios.rs
@@ -1,11 +1,12 @@
-//! Loads of the kinds that the users describe.
+//! Scenarios with the loads that the users describe.
 
 use crate::engine::EngineSpec;
 use crate::load::{RequestKind, SharedParts, SizeDistribution};
 use crate::simulation::Scenario;
 use route::HintFilter;
 
-/// Long reports and short captions on twelve engines, a third of them slower: long reads hold up all streams.
+/// Long reports and short captions on twelve engines, a third of which are slower. Reading a long prompt
+/// delays all streams on the same engine.
 pub fn reports_and_captions(seed: u64) -> Scenario {
     let engine = EngineSpec {
         slots: 128,
@@ -71,8 +72,8 @@
     }
 }
 
-/// Long narratives, short summaries and tiny checks on eighteen faster engines: what is read is more, the pauses that it
-/// causes are short.
+/// Long narratives, short summaries and very short checks on eighteen faster engines. More tokens are read
+/// than in [`reports_and_captions`], but the pauses that this causes are short.
 pub fn narratives_and_summaries(seed: u64) -> Scenario {
     let engine = EngineSpec {
         slots: 64,
@@ -173,8 +174,8 @@
     }
 }
 
-/// The same kinds of requests, eight times as many, on 160 engines with 32 slots each, a third of them slower, through so
-/// many routers: each sees few of the prompts.
+/// The kinds of requests of [`narratives_and_summaries`], at about eight times the rate, on 160 engines with
+/// 32 slots each, a third of which are slower, behind `routers` routers. Each router sees few of the prompts.
 pub fn large_fleet(seed: u64, routers: usize) -> Scenario {
     let base = narratives_and_summaries(seed);
     let engine = EngineSpec {
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! Callers, routers with private views, and engines in virtual time.
+//! The event loop: callers, routers that share no state, and engines.
 
 use crate::engine::{Engine, EngineSpec, Job, StepEvent};
 use crate::harmful::{self, QuarantineSimulation, RouterEvent};
@@ -14,62 +14,65 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-/// The name of the service.
+/// The service that all engines run.
 const SERVICE: &str = "engines";
-/// The time from a router to an engine or to another router, in milliseconds.
+/// The latency from a router to an engine or to another router, in milliseconds.
 const LATENCY_MS: f64 = 1.0;
-/// A shared part that was used so recently should still be kept somewhere, in milliseconds.
+/// A shared part that was used within this time, in milliseconds, should still be cached on some engine.
 const EXPECTED_CACHE_MS: f64 = 10_000.0;
-/// How often the engines are divided, in milliseconds: with each heartbeat of a gateway.
+/// The interval at which the division of the engines is adapted, in milliseconds: that of a gateway's
+/// heartbeats.
 const DIVISION_INTERVAL_MS: f64 = 1_500.0;
-/// How long an engine that leaves still serves, in milliseconds.
+/// How long an engine that reports that it leaves still serves requests, in milliseconds.
 const LEAVING_MS: f64 = 4_000.0;
-/// How often a request is tried again whose engine ended.
+/// How often a request is retried if its engine crashes or backs off.
 const RETRIES: u32 = 2;
-/// Events come in units of this part of a millisecond.
+/// The resolution of the event queue, in ticks per millisecond.
 const TICKS_PER_MS: f64 = 1_000.0;
 
-/// What is played.
+/// The fleet to simulate, its load and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Routers.
+    /// The number of routers.
     pub routers: usize,
-    /// Data centres, over which routers and engines are spread.
+    /// The number of data centres, over which routers and engines are spread.
     pub data_centres: usize,
-    /// The engines' specification.
+    /// The specification of the engines.
     pub engine: EngineSpec,
-    /// How many times slower than that each engine is.
+    /// The factor by which each engine is slower than the specification.
     pub slowdowns: Vec<f64>,
     /// The kinds of requests.
     pub kinds: Vec<RequestKind>,
-    /// Multiple of the usual rates.
+    /// The factor by which the rates of the kinds are multiplied.
     pub load: f64,
-    /// How long it is played, in milliseconds, and from when on requests count.
+    /// The simulated time, in milliseconds.
     pub duration_ms: f64,
-    /// Requests that come earlier do not count.
+    /// Requests that arrive before this time are not counted, in milliseconds.
     pub warmup_ms: f64,
-    /// Which dispatches routers tell the others.
+    /// Selects the dispatches that routers report to each other.
     pub hint_filter: HintFilter,
-    /// What goes wrong, and when.
+    /// The faults to inject, with their times in milliseconds.
     pub faults: Vec<(f64, Fault)>,
-    /// The seed of all that is random.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
-/// Something that goes wrong.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// An engine becomes so many times slower.
+    /// An engine becomes slower than its specification by this factor.
     Slow(usize, f64),
-    /// The load becomes this multiple of the usual one.
+    /// The load changes to this multiple of the usual one.
     Load(f64),
-    /// An engine ends, and is back after some seconds.
+    /// An engine crashes, and restarts after some seconds.
     Crash(usize),
-    /// An engine says in its answers that it leaves, and the list does not; after some seconds it ends, and another life of it begins.
+    /// An engine reports in its answers that it leaves, while the list of upstreams still names it. After
+    /// some seconds it ends with all that it runs, and later restarts.
     Leave(usize),
-    /// An engine refuses what comes, and asks for rest for the time that is left of so many milliseconds.
+    /// An engine refuses requests for this many milliseconds and tells the routers how much of that time is
+    /// left.
     BackOff(usize, f64),
-    /// From now on a request that ends its engines comes so many times a second, to any router.
+    /// From now on, a request that crashes its engines arrives this many times per second, at any router.
     HarmfulRequests(f64),
 }
 
@@ -115,12 +118,12 @@
     }
 }
 
-/// A request that is being carried out.
+/// A request that is in progress.
 struct OpenRequest {
     request: Request,
-    /// The request's number: a retry has the same.
+    /// The number of the request, which its retries share.
     number: u64,
-    /// Retries that are left.
+    /// The number of retries left.
     retries: u32,
     router: usize,
     engine: usize,
@@ -145,18 +148,18 @@
     next_id: usize,
     load: f64,
     part_last_used: HashMap<u64, f64>,
-    /// Until when each engine rests.
+    /// The time until which each engine backs off.
     backoff_until: Vec<f64>,
-    /// Routers that each engine told that it leaves; `None` as long as it doesn't.
+    /// The routers that each leaving engine has told so; `None` if it is not leaving.
     leaving: Vec<Option<HashSet<usize>>>,
-    /// Routers that each engine told how long it rests.
+    /// Pairs of an engine that backs off and a router that it has told so.
     told_backoff: HashSet<(usize, usize)>,
     quarantine: QuarantineSimulation,
     harmful_per_s: f64,
     outcome: Outcome,
 }
 
-/// Plays a scene to its end.
+/// Simulates a scenario to its end.
 pub fn simulate(scenario: &Scenario) -> Outcome {
     let mut simulation = Simulation::new(scenario);
     simulation.push(0.0, Event::Arrival);
@@ -295,7 +298,7 @@
         self.push(self.now + harmful::CRASH_DELAY_MS, Event::CrashByHarmful { router, engine });
     }
 
-    /// Ends an engine: it leaves the list, and what ran there is tried again.
+    /// Crashes an engine: it is removed from the list of upstreams, and its jobs are retried.
     fn crash(&mut self, engine: usize, cause: Option<usize>) {
         if self.engines[engine].is_down {
             return;
@@ -352,7 +355,7 @@
         }
     }
 
-    /// The first router divides the engines, the others follow.
+    /// The first router adapts the division of the engines, and the others adopt it.
     fn adapt_divisions(&mut self) {
         self.push(self.now + DIVISION_INTERVAL_MS, Event::AdaptDivisions);
         let now = self.now as Millis;
@@ -435,7 +438,7 @@
         }
     }
 
-    /// Whether an engine rests, which it tells the router of a request.
+    /// Refuses a request if the engine backs off, and tells the router for how long. Returns whether it did.
     fn refuse_if_backing_off(&mut self, engine: usize, router: usize) -> bool {
         let remaining_ms = self.backoff_until[engine] - self.now;
         if remaining_ms <= 0.0 {
