--- a/examples/bench/main.rs
+++ b/examples/bench/main.rs
@@ -1,6 +1,7 @@
-//! Measurements with real router processes and small stand-ins: `cargo run --release --example bench -- NAME`.
+//! Benchmarks with real router processes and stand-in engines, or in virtual time: `cargo run --release
+//! --example bench -- NAME`.
 //!
-//! Each prints a table in Markdown. Load goes to loopback only, and every run ends by itself.
+//! Each benchmark prints tables in Markdown. It sends load to loopback addresses only, and ends by itself.
 
 mod budgets;
 mod control;
@@ -15,15 +16,15 @@
 const USAGE: &str = "usage: bench router | budgets | policy [ROUNDS] | control";
 
 fn main() -> ExitCode {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    if let ["serve", settings] = words.as_slice() {
+    let owned: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<&str> = owned.iter().map(String::as_str).collect();
+    if let ["serve", settings] = arguments.as_slice() {
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
         return finish(Serve { settings: PathBuf::from(settings) }.execute());
     }
     net::exec::start(6);
     let program = std::env::current_exe().expect("this program's own path");
-    match words.as_slice() {
+    match arguments.as_slice() {
         ["router"] => net::exec::block_on(router::run(&program)),
         ["budgets"] => budgets::run(),
         ["policy"] => policy::run(),
--- a/examples/bench/policy/engine.rs
+++ b/examples/bench/policy/engine.rs
@@ -1,15 +1,15 @@
-//! A model of a continuously batching engine: slots, a queue by priority, a prefix cache, a pace.
+//! A model of an engine with continuous batching: slots, a priority queue, a prefix cache and a token rate.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Runs in a batch.
+/// The largest number of runs in a batch.
 pub const SLOTS: u32 = 8;
-/// Prefixes in the cache.
-const PREFIXES: usize = 24;
-/// Microseconds for each prompt token, and for each generated one.
+/// The number of prefixes in the cache.
+const CACHE_CAPACITY: usize = 24;
+/// The time for each prompt token, and for each generated token, in microseconds.
 const PROMPT_US: u64 = 150;
 const TOKEN_US: u64 = 20_000;
-/// The share of the prompt's time that a cached prefix leaves.
+/// The share of the time to read a prompt that remains if its prefix is cached.
 const CACHED_SHARE: f64 = 0.1;
 
 /// A run on an engine.
@@ -22,40 +22,40 @@
     pub prefix: u64,
 }
 
-/// When a run's first token and its end come, in milliseconds.
+/// The times of a run's first token and of its end, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct RunTimes {
     pub first: u64,
     pub end: u64,
 }
 
-/// An engine.
+/// An engine and its state.
 #[derive(Clone, Debug, Default)]
 pub struct Engine {
     pub running: u32,
-    pub dead: bool,
-    pub slow: f64,
+    pub is_down: bool,
+    pub slowdown: f64,
     queue: BTreeMap<(u8, u64), Run>,
     arrivals: u64,
     cache: VecDeque<u64>,
-    pub hits: u64,
-    pub lookups: u64,
+    pub cache_hits: u64,
+    pub cache_lookups: u64,
     pub overrun_ms: u64,
-    changed: u64,
+    last_change: u64,
 }
 
 impl Engine {
     pub fn new() -> Engine {
-        Engine { slow: 1.0, ..Engine::default() }
+        Engine { slowdown: 1.0, ..Engine::default() }
     }
 
     pub fn busy(&self) -> u32 {
         self.running + self.queue.len() as u32
     }
 
-    /// Takes a run; its times if a slot is free.
-    pub fn accept(&mut self, run: Run, now: u64) -> Option<Times> {
-        self.track(now);
+    /// Starts a run and returns its times, or queues it if no slot is free.
+    pub fn accept(&mut self, run: Run, now: u64) -> Option<RunTimes> {
+        self.update_overrun(now);
         if self.running < SLOTS {
             return Some(self.start(&run, now));
         }
@@ -64,49 +64,49 @@
         None
     }
 
-    /// Ends a run; the next one in the queue and its times.
-    pub fn end(&mut self, now: u64) -> Option<(Run, Times)> {
-        self.track(now);
+    /// Completes a run. If another one was queued, starts it and returns it with its times.
+    pub fn complete(&mut self, now: u64) -> Option<(Run, RunTimes)> {
+        self.update_overrun(now);
         self.running -= 1;
         let (_, run) = self.queue.pop_first()?;
         let times = self.start(&run, now);
         Some((run, times))
     }
 
-    fn track(&mut self, now: u64) {
-        self.overrun_ms += (now - self.changed) * self.queue.len() as u64;
-        self.changed = now;
+    fn update_overrun(&mut self, now: u64) {
+        self.overrun_ms += (now - self.last_change) * self.queue.len() as u64;
+        self.last_change = now;
     }
 
-    fn start(&mut self, run: &Run, now: u64) -> Times {
+    fn start(&mut self, run: &Run, now: u64) -> RunTimes {
         self.running += 1;
-        self.lookups += 1;
+        self.cache_lookups += 1;
         let cached = self.cache.iter().position(|prefix| *prefix == run.prefix);
         let share = match cached {
-            Some(at) => {
-                self.cache.remove(at);
-                self.hits += 1;
+            Some(position) => {
+                self.cache.remove(position);
+                self.cache_hits += 1;
                 CACHED_SHARE
             }
             None => 1.0,
         };
         self.cache.push_back(run.prefix);
-        if self.cache.len() > PREFIXES {
+        if self.cache.len() > CACHE_CAPACITY {
             self.cache.pop_front();
         }
-        let prompt = (run.prompt * PROMPT_US) as f64 * share * self.slow / 1_000.0;
-        let token = TOKEN_US as f64 * self.slow / 1_000.0;
+        let prompt = (run.prompt * PROMPT_US) as f64 * share * self.slowdown / 1_000.0;
+        let token = TOKEN_US as f64 * self.slowdown / 1_000.0;
         let first = now + (prompt + token) as u64;
-        Times { first, end: first + (token * run.tokens as f64) as u64 }
+        RunTimes { first, end: first + (token * run.tokens as f64) as u64 }
     }
 
-    /// Whether a prefix is cached, for a router that sees everything.
-    pub fn has(&self, prefix: u64) -> bool {
+    /// Whether a prefix is cached, for the events that routers receive.
+    pub fn is_cached(&self, prefix: u64) -> bool {
         self.cache.contains(&prefix)
     }
 }
 
-/// Milliseconds of a slot that a request takes without a cached prefix.
+/// The time for which a request occupies a slot if its prefix is not cached, in milliseconds.
 pub fn service_ms(prompt: u64, tokens: u64) -> f64 {
     (prompt * PROMPT_US + (tokens + 1) * TOKEN_US) as f64 / 1_000.0
 }
--- a/examples/bench/policy/mod.rs
+++ b/examples/bench/policy/mod.rs
@@ -1,14 +1,14 @@
-//! The routing decisions against baselines, in virtual time: goodput by class, latencies, overruns, cache
-//! hits, fairness. The router's own decision code runs here against a small model of the engines.
+//! Compares the routing decisions with simpler policies in virtual time: goodput by class, latencies,
+//! overruns, cache hits and fairness. Runs the router's own decision code with a simple model of the engines.
 
 mod engine;
 mod plot;
 mod simulation;
 mod stats;
 
-use simulation::{Class, Mix, Outcome, Policy, Scene, simulate};
+use simulation::{Class, Mix, Outcome, Policy, Scenario, simulate};
 
-/// Loads as a share of what the engines can do.
+/// The offered loads, as a share of the engines' capacity.
 const LOADS: [f64; 4] = [0.5, 0.9, 1.3, 3.0];
 
 fn mixes() -> [Mix; 2] {
@@ -25,7 +25,7 @@
         Mix {
             name: "Chinook",
             engines: 20,
-            centres: 3,
+            data_centres: 3,
             classes: vec![
                 class("hail flag", 0, 700, 60, 4, 0.45, 40),
                 class("cell summary", 3, 3_000, 400, 60, 0.40, 120),
@@ -35,7 +35,7 @@
         Mix {
             name: "Učňovská Sieť",
             engines: 12,
-            centres: 4,
+            data_centres: 4,
             classes: vec![
                 class("eligibility check", 0, 700, 120, 6, 0.45, 60),
                 class("logbook summary", 3, 4_000, 900, 120, 0.45, 200),
@@ -45,7 +45,7 @@
     ]
 }
 
-/// Measures and prints; writes the plot beside the page.
+/// Runs all simulations, prints a table, and writes the plot to the images of the docs.
 pub fn run() {
     let policies =
         [Policy::Tallypaddle, Policy::OneRouter, Policy::Random, Policy::RoundRobin, Policy::LeastOpen];
@@ -56,13 +56,20 @@
     let mut points = vec![];
     for mix in mixes() {
         println!("| {}: urgent is the {} | | | | | | | | | | | | | |", mix.name, mix.classes[0].name);
-        for scene in [Scene::Calm, Scene::Dies, Scene::Slow, Scene::Lag, Scene::CutCentre, Scene::Restart] {
-            let loads: &[f64] = if scene == Scene::Calm { &LOADS } else { &[0.9] };
+        for scenario in [
+            Scenario::Calm,
+            Scenario::Dies,
+            Scenario::Slow,
+            Scenario::Lag,
+            Scenario::CutCentre,
+            Scenario::Restart,
+        ] {
+            let loads: &[f64] = if scenario == Scenario::Calm { &LOADS } else { &[0.9] };
             for load in loads {
                 for policy in policies {
-                    let outcome = simulate(&mix, scene, *load, policy);
-                    print(&mix, scene, *load, policy, &outcome);
-                    if scene == Scene::Calm {
+                    let outcome = simulate(&mix, scenario, *load, policy);
+                    print(&mix, scenario, *load, policy, &outcome);
+                    if scenario == Scenario::Calm {
                         points.push(plot::Point {
                             users: mix.name,
                             policy,
@@ -76,25 +83,25 @@
     }
     match plot::draw(&points) {
         Ok(path) => println!("\nplot: {path}"),
-        Err(error) => eprintln!("the plot can't be drawn: {error}"),
+        Err(error) => eprintln!("failed to draw the plot: {error}"),
     }
 }
 
-fn print(mix: &Mix, scene: Scene, load: f64, policy: Policy, outcome: &Outcome) {
+fn print(mix: &Mix, scenario: Scenario, load: f64, policy: Policy, outcome: &Outcome) {
     println!(
-        "| {} | {scene:?} | {load} | {policy:?} | {:.1} | {:.1} | {:.1} | {}/{}/{} | {} | {:.1} | {:.1} | {:.1} | {:.3} | {:.2} |",
+        "| {} | {scenario:?} | {load} | {policy:?} | {:.1} | {:.1} | {:.1} | {}/{}/{} | {} | {:.1} | {:.1} | {:.1} | {:.3} | {:.2} |",
         mix.name,
         outcome.goodput,
-        outcome.share,
-        outcome.urgent_share,
-        outcome.first[0],
-        outcome.first[1],
-        outcome.first[2],
-        outcome.gap,
-        outcome.overrun,
-        outcome.hits,
-        outcome.retries,
+        outcome.goodput_percent,
+        outcome.urgent_goodput_percent,
+        outcome.urgent_ttft_ms[0],
+        outcome.urgent_ttft_ms[1],
+        outcome.urgent_ttft_ms[2],
+        outcome.gap_ms,
+        outcome.overrun_slot_s,
+        outcome.cache_hit_percent,
+        outcome.retry_percent,
         outcome.fairness,
-        outcome.messages,
+        outcome.messages_per_request,
     );
 }
--- a/examples/bench/policy/plot.rs
+++ b/examples/bench/policy/plot.rs
@@ -1,4 +1,4 @@
-//! Goodput over load, as a picture for the page.
+//! Plots goodput by load for the docs.
 
 use super::simulation::Policy;
 use plotters::prelude::*;
@@ -8,7 +8,7 @@
 const PATH: &str = "docs/images/policy.svg";
 const SIZE: (u32, u32) = (900, 380);
 
-/// One measured point.
+/// A measured point.
 pub struct Point {
     pub users: &'static str,
     pub policy: Policy,
@@ -16,7 +16,7 @@
     pub goodput: f64,
 }
 
-/// Draws one chart for each of the users.
+/// Draws a chart for each user and returns the path of the image.
 pub fn draw(points: &[Point]) -> Result<String, Box<dyn Error>> {
     std::fs::create_dir_all("docs/images")?;
     let area = SVGBackend::new(PATH, SIZE).into_drawing_area();
@@ -28,13 +28,13 @@
     };
     for (panel, users) in area.split_evenly((1, users.len())).iter().zip(&users) {
         let own: Vec<&Point> = points.iter().filter(|point| point.users == *users).collect();
-        let most = own.iter().map(|point| point.goodput).fold(0.0, f64::max) * 1.15;
+        let max = own.iter().map(|point| point.goodput).fold(0.0, f64::max) * 1.15;
         let mut chart = ChartBuilder::on(panel)
             .caption(format!("{users}: goodput over load"), ("sans-serif", 16))
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.4..3.1, 0.0..most)?;
+            .build_cartesian_2d(0.4..3.1, 0.0..max)?;
         chart.configure_mesh().x_desc("offered load / capacity").y_desc("requests/s in time").draw()?;
         let mut lines: BTreeMap<Policy, Vec<(f64, f64)>> = BTreeMap::new();
         for point in own {
--- a/examples/bench/policy/simulation.rs
+++ b/examples/bench/policy/simulation.rs
@@ -1,7 +1,7 @@
-//! Callers, routers and engines in virtual time.
+//! A discrete-event simulation of callers, routers and engines.
 
-use super::engine::{Engine, Run, SLOTS, Times, service_ms};
-use super::stats::{at, fairness, percent};
+use super::engine::{Engine, Run, RunTimes, SLOTS, service_ms};
+use super::stats::{fairness, percent, value_at};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use route::{
@@ -12,19 +12,20 @@
 
 const ROUTERS: usize = 8;
 const TEAMS: usize = 10;
-/// The time of a run, the part that is not counted at first, and when a fault comes, in milliseconds.
+/// The duration of a run, the time at its start that is not counted, and the time of the fault, in
+/// milliseconds.
 const RUN_MS: u64 = 90_000;
-const WARM_MS: u64 = 20_000;
-const FAULT_AT: u64 = 40_000;
-/// Time between two load reports, and how old they are if they lag.
+const WARMUP_MS: u64 = 20_000;
+const FAULT_AT_MS: u64 = 40_000;
+/// The interval of load reports, and their age in the scenario in which they lag, in milliseconds.
 const REPORT_MS: u64 = 500;
-const LAG_MS: u64 = 5_000;
-/// Requests of one model that wait in one router.
-const QUEUE: usize = 256;
-/// Prompt tokens from which a router asks for a slot at the prefix's preferred engine.
-const BORROW_PROMPT: u64 = 200;
-/// Attempts of a request at most.
-const ATTEMPTS: u32 = 3;
+const LAGGING_REPORT_AGE_MS: u64 = 5_000;
+/// The number of requests for one model that may wait in a router.
+const QUEUE_CAPACITY: usize = 256;
+/// The shortest prompt, in tokens, for which a router asks for a slot on the preferred engine of the prefix.
+const MIN_BORROW_PROMPT: u64 = 200;
+/// The most attempts of a request.
+const MAX_ATTEMPTS: u32 = 3;
 const SEED: u64 = 20_261_202;
 const MODEL: &str = "narrator";
 
@@ -43,14 +44,14 @@
 pub struct Mix {
     pub name: &'static str,
     pub engines: usize,
-    pub centres: usize,
+    pub data_centres: usize,
     pub classes: Vec<Class>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Policy {
     Tallypaddle,
-    /// This project's decisions in one router that sees and serves everything.
+    /// The same decisions, in a single router that receives all requests and owns all slots.
     OneRouter,
     Random,
     RoundRobin,
@@ -58,7 +59,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Scene {
+pub enum Scenario {
     Calm,
     Dies,
     Slow,
@@ -67,19 +68,19 @@
     Restart,
 }
 
-/// What a run of the world showed.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub goodput: f64,
-    pub share: f64,
-    pub urgent_share: f64,
-    pub first: [u64; 3],
-    pub gap: u64,
-    pub overrun: f64,
-    pub hits: f64,
-    pub retries: f64,
+    pub goodput_percent: f64,
+    pub urgent_goodput_percent: f64,
+    pub urgent_ttft_ms: [u64; 3],
+    pub gap_ms: u64,
+    pub overrun_slot_s: f64,
+    pub cache_hit_percent: f64,
+    pub retry_percent: f64,
     pub fairness: f64,
-    pub messages: f64,
+    pub messages_per_request: f64,
 }
 
 struct Request {
@@ -94,7 +95,7 @@
     lender: Option<usize>,
 }
 
-fn want<'a>(mix: &Mix, request: &'a Request, team: &'a str) -> SubmitRequest<'a> {
+fn submit_request<'a>(mix: &Mix, request: &'a Request, team: &'a str) -> SubmitRequest<'a> {
     let class = &mix.classes[request.class];
     SubmitRequest {
         model: MODEL,
@@ -115,95 +116,95 @@
     Fault,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     mix: &'a Mix,
-    scene: Scene,
+    scenario: Scenario,
     policy: Policy,
     now: u64,
     random: SmallRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     order: u64,
     engines: Vec<Engine>,
-    desks: Vec<Dispatcher<usize>>,
-    open: Vec<Vec<u32>>,
-    turn: Vec<usize>,
+    dispatchers: Vec<Dispatcher<usize>>,
+    open_requests: Vec<Vec<u32>>,
+    round_robin: Vec<usize>,
     requests: Vec<Request>,
-    reports: Vec<Vec<u32>>,
+    load_history: Vec<Vec<u32>>,
     retries: u64,
     messages: u64,
     owners: Vec<Vec<(usize, u32)>>,
-    good: Vec<u64>,
-    offered: Vec<u64>,
+    good_by_class: Vec<u64>,
+    offered_by_class: Vec<u64>,
     team_good: Vec<u64>,
     team_offered: Vec<u64>,
-    firsts: Vec<u64>,
-    gaps: Vec<u64>,
+    first_token_ms: Vec<u64>,
+    token_gaps_ms: Vec<u64>,
 }
 
-fn name(engine: usize) -> String {
+fn engine_name(engine: usize) -> String {
     format!("engine-{engine}")
 }
 
-fn index(name: &str) -> usize {
+fn engine_index(name: &str) -> usize {
     name.trim_start_matches("engine-").parse().unwrap_or(0)
 }
 
-/// Runs one world to its end.
-pub fn simulate(mix: &Mix, scene: Scene, load: f64, policy: Policy) -> Outcome {
+/// Simulates a scenario to its end.
+pub fn simulate(mix: &Mix, scenario: Scenario, load: f64, policy: Policy) -> Outcome {
     let routers = if policy == Policy::OneRouter { 1 } else { ROUTERS };
-    let mut world = World {
+    let mut simulation = Simulation {
         mix,
-        scene,
+        scenario,
         policy,
         now: 0,
         random: SmallRng::seed_from_u64(SEED),
         events: BinaryHeap::new(),
         order: 0,
         engines: vec![Engine::new(); mix.engines],
-        desks: (0..routers).map(|router| desk(mix, router, routers)).collect(),
-        open: vec![vec![0; mix.engines]; routers],
-        turn: vec![0; routers],
+        dispatchers: (0..routers).map(|router| new_dispatcher(mix, router, routers)).collect(),
+        open_requests: vec![vec![0; mix.engines]; routers],
+        round_robin: vec![0; routers],
         requests: vec![],
-        reports: vec![],
+        load_history: vec![],
         retries: 0,
         messages: 0,
-        owners: owners(mix, routers),
-        good: vec![0; mix.classes.len()],
-        offered: vec![0; mix.classes.len()],
+        owners: slot_owners(mix, routers),
+        good_by_class: vec![0; mix.classes.len()],
+        offered_by_class: vec![0; mix.classes.len()],
         team_good: vec![0; TEAMS],
         team_offered: vec![0; TEAMS],
-        firsts: vec![],
-        gaps: vec![],
+        first_token_ms: vec![],
+        token_gaps_ms: vec![],
     };
     let mean: f64 =
         mix.classes.iter().map(|class| service_ms(class.prompt, class.tokens) * class.share).sum();
     let rate = load * f64::from(SLOTS) * mix.engines as f64 / mean;
     let mut at = 0.0;
     while at < RUN_MS as f64 {
-        at += -world.random.r#gen::<f64>().max(1e-12).ln() / rate;
-        world.push(at as u64, Event::Arrive);
+        at += -simulation.random.r#gen::<f64>().max(1e-12).ln() / rate;
+        simulation.push(at as u64, Event::Arrive);
     }
     for at in (0..RUN_MS).step_by(REPORT_MS as usize) {
-        world.push(at, Event::Report);
+        simulation.push(at, Event::Report);
     }
-    world.push(FAULT_AT, Event::Fault);
-    while let Some(Reverse((at, _, event))) = world.events.pop() {
+    simulation.push(FAULT_AT_MS, Event::Fault);
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
         if at > RUN_MS {
             break;
         }
-        world.now = at;
-        world.step(event);
+        simulation.now = at;
+        simulation.handle(event);
     }
-    world.outcome()
+    simulation.into_outcome()
 }
 
-fn names(mix: &Mix, routers: usize) -> (Vec<String>, Vec<String>) {
-    ((0..mix.engines).map(name).collect(), (0..routers).map(|router| format!("vm-{router}")).collect())
+fn all_names(mix: &Mix, routers: usize) -> (Vec<String>, Vec<String>) {
+    ((0..mix.engines).map(engine_name).collect(), (0..routers).map(|router| format!("vm-{router}")).collect())
 }
 
-/// The owners of each engine, with their slots.
-fn owners(mix: &Mix, routers: usize) -> Vec<Vec<(usize, u32)>> {
-    let (engines, routers) = names(mix, routers);
+/// The routers that own slots of each engine, with the number of slots.
+fn slot_owners(mix: &Mix, routers: usize) -> Vec<Vec<(usize, u32)>> {
+    let (engines, routers) = all_names(mix, routers);
     let upstreams: Vec<(&str, u32)> = engines.iter().map(|name| (name.as_str(), SLOTS)).collect();
     let names: Vec<&str> = routers.iter().map(String::as_str).collect();
     let shares = assign_slots(&upstreams, &names);
@@ -214,29 +215,29 @@
         .collect()
 }
 
-fn desk(mix: &Mix, router: usize, routers: usize) -> Dispatcher<usize> {
-    let mut desk = Dispatcher::new(&format!("dc-{}", router % mix.centres));
-    desk.set_capacity(QUEUE);
-    for (engine, owners) in owners(mix, routers).iter().enumerate() {
+fn new_dispatcher(mix: &Mix, router: usize, routers: usize) -> Dispatcher<usize> {
+    let mut dispatcher = Dispatcher::new(&format!("dc-{}", router % mix.data_centres));
+    dispatcher.set_capacity(QUEUE_CAPACITY);
+    for (engine, owners) in slot_owners(mix, routers).iter().enumerate() {
         if let Some((_, slots)) = owners.iter().find(|(owner, _)| *owner == router) {
             let spec = UpstreamSpec {
-                data_centre: format!("dc-{}", engine % mix.centres),
+                data_centre: format!("dc-{}", engine % mix.data_centres),
                 limit: *slots,
                 models: vec![MODEL.to_owned()],
             };
-            desk.pool.set(&name(engine), spec);
+            dispatcher.pool.set(&engine_name(engine), spec);
         }
     }
-    desk
+    dispatcher
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn push(&mut self, at: u64, event: Event) {
         self.order += 1;
         self.events.push(Reverse((at, self.order, event)));
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
             Event::End { engine, request, first } => self.end(engine, request, first),
@@ -245,36 +246,36 @@
         }
     }
 
-    fn counted(&self, arrived: u64) -> bool {
-        (WARM_MS..RUN_MS - 25_000).contains(&arrived)
+    fn is_counted(&self, arrived: u64) -> bool {
+        (WARMUP_MS..RUN_MS - 25_000).contains(&arrived)
     }
 
     fn arrive(&mut self) {
-        let mut pick: f64 = self.random.r#gen();
+        let mut draw: f64 = self.random.r#gen();
         let mut class = 0;
-        while class + 1 < self.mix.classes.len() && pick > self.mix.classes[class].share {
-            pick -= self.mix.classes[class].share;
+        while class + 1 < self.mix.classes.len() && draw > self.mix.classes[class].share {
+            draw -= self.mix.classes[class].share;
             class += 1;
         }
-        // A few large teams: each takes half of what the ones before it left.
+        // The sizes of the teams differ: each sends 40 % of the requests that the teams before it left.
         let mut team = 0;
         while team + 1 < TEAMS && self.random.gen_bool(0.6) {
             team += 1;
         }
-        let of_class = self.random.gen_range(0..self.mix.classes[class].prefixes);
+        let prefix_of_class = self.random.gen_range(0..self.mix.classes[class].prefixes);
         let request = Request {
             class,
             team,
-            router: self.random.gen_range(0..self.desks.len()),
+            router: self.random.gen_range(0..self.dispatchers.len()),
             arrived: self.now,
-            prefix: (class as u64) << 32 | of_class,
+            prefix: (class as u64) << 32 | prefix_of_class,
             attempts: 0,
             avoid: vec![],
             waits: vec![],
             lender: None,
         };
-        if self.counted(self.now) {
-            self.offered[class] += 1;
+        if self.is_counted(self.now) {
+            self.offered_by_class[class] += 1;
             self.team_offered[team] += 1;
         }
         self.requests.push(request);
@@ -284,38 +285,42 @@
     fn place(&mut self, id: usize) {
         self.requests[id].attempts += 1;
         if matches!(self.policy, Policy::Tallypaddle | Policy::OneRouter) {
-            return self.place_by_desk(id);
+            return self.place_by_dispatcher(id);
         }
         let router = self.requests[id].router;
         let count = self.engines.len();
         let usable: Vec<usize> =
-            (0..count).filter(|engine| !self.requests[id].avoid.contains(&name(*engine))).collect();
+            (0..count).filter(|engine| !self.requests[id].avoid.contains(&engine_name(*engine))).collect();
         let Some(first) = usable.first().copied() else { return };
         let engine = match self.policy {
             Policy::Random => usable[self.random.gen_range(0..usable.len())],
             Policy::RoundRobin => {
-                self.turn[router] += 1;
-                usable[self.turn[router] % usable.len()]
+                self.round_robin[router] += 1;
+                usable[self.round_robin[router] % usable.len()]
             }
-            _ => usable.iter().copied().min_by_key(|engine| self.open[router][*engine]).unwrap_or(first),
+            _ => usable
+                .iter()
+                .copied()
+                .min_by_key(|engine| self.open_requests[router][*engine])
+                .unwrap_or(first),
         };
         self.send(id, engine);
     }
 
-    fn place_by_desk(&mut self, id: usize) {
-        if self.borrow_home(id) {
+    fn place_by_dispatcher(&mut self, id: usize) {
+        if self.borrow_at_preferred(id) {
             return;
         }
         let request = &self.requests[id];
         let router = request.router;
         let team = format!("team-{}", request.team);
-        let want = want(self.mix, request, &team);
-        let (entered, displaced) = self.desks[router].submit(&want, id, self.now);
+        let submit_request = submit_request(self.mix, request, &team);
+        let (submitted, displaced) = self.dispatchers[router].submit(&submit_request, id, self.now);
         if let Some(displaced) = displaced {
-            self.forget(displaced, router);
+            self.remove_wait(displaced, router);
         }
-        match entered {
-            SubmitOutcome::Chosen(choice) => self.send(id, index(&choice.upstream)),
+        match submitted {
+            SubmitOutcome::Chosen(choice) => self.send(id, engine_index(&choice.upstream)),
             SubmitOutcome::Waiting(number) => {
                 self.requests[id].waits.push((router, number));
                 self.wait_at_peers(id);
@@ -324,53 +329,54 @@
         }
     }
 
-    /// The engine that every router prefers for a request's prefix.
-    fn home(&self, id: usize) -> usize {
-        let engines: Vec<String> = (0..self.engines.len()).map(name).collect();
+    /// The engine that all routers prefer for the prefix of a request.
+    fn preferred_engine(&self, id: usize) -> usize {
+        let engines: Vec<String> = (0..self.engines.len()).map(engine_name).collect();
         let serving: Vec<&str> = engines.iter().map(String::as_str).collect();
-        index(home_upstream(&serving, self.requests[id].prefix))
+        engine_index(home_upstream(&serving, self.requests[id].prefix))
     }
 
-    /// Asks an owner of the prefix's preferred engine for one of its slots, where a cached prefix saves much.
-    fn borrow_home(&mut self, id: usize) -> bool {
+    /// Asks the owners of the preferred engine for one of its slots, if the prompt is long enough for a
+    /// cached prefix to save much.
+    fn borrow_at_preferred(&mut self, id: usize) -> bool {
         let request = &self.requests[id];
-        if self.policy != Policy::Tallypaddle || self.mix.classes[request.class].prompt < BORROW_PROMPT {
+        if self.policy != Policy::Tallypaddle || self.mix.classes[request.class].prompt < MIN_BORROW_PROMPT {
             return false;
         }
-        let home = self.home(id);
-        let owners: Vec<usize> = self.owners[home].iter().map(|(owner, _)| *owner).collect();
+        let preferred = self.preferred_engine(id);
+        let owners: Vec<usize> = self.owners[preferred].iter().map(|(owner, _)| *owner).collect();
         let request = &self.requests[id];
         if owners.contains(&request.router) {
             return false;
         }
-        owners.into_iter().any(|owner| self.borrow(id, owner, Some(&name(home))))
+        owners.into_iter().any(|owner| self.borrow_slot(id, owner, Some(&engine_name(preferred))))
     }
 
-    /// Lets a request wait at a few peers too; the first slot that becomes free is taken.
+    /// Queues a request at some peers as well. It takes the first slot that becomes free.
     fn wait_at_peers(&mut self, id: usize) {
         if self.policy != Policy::Tallypaddle {
             return;
         }
         let own = self.requests[id].router;
-        let home = self.home(id);
-        let mut peers: Vec<usize> = self.owners[home].iter().map(|(owner, _)| *owner).collect();
-        peers.push(self.random.gen_range(0..self.desks.len()));
+        let preferred = self.preferred_engine(id);
+        let mut peers: Vec<usize> = self.owners[preferred].iter().map(|(owner, _)| *owner).collect();
+        peers.push(self.random.gen_range(0..self.dispatchers.len()));
         peers.sort_unstable();
         peers.dedup();
         peers.retain(|peer| *peer != own);
         for peer in peers {
             let request = &self.requests[id];
             let team = format!("team-{}", request.team);
-            let want = want(self.mix, request, &team);
+            let submit_request = submit_request(self.mix, request, &team);
             self.messages += 2;
-            let (entered, displaced) = self.desks[peer].submit(&want, id, self.now);
+            let (submitted, displaced) = self.dispatchers[peer].submit(&submit_request, id, self.now);
             if let Some(displaced) = displaced {
-                self.forget(displaced, peer);
+                self.remove_wait(displaced, peer);
             }
-            match entered {
+            match submitted {
                 SubmitOutcome::Chosen(choice) => {
-                    self.granted(id, peer);
-                    return self.send(id, index(&choice.upstream));
+                    self.record_grant(id, peer);
+                    return self.send(id, engine_index(&choice.upstream));
                 }
                 SubmitOutcome::Waiting(number) => self.requests[id].waits.push((peer, number)),
                 _ => {}
@@ -378,46 +384,47 @@
         }
     }
 
-    /// A request lost its place in one router's line.
-    fn forget(&mut self, id: usize, router: usize) {
+    /// Records that a request is no longer in the queue of a router.
+    fn remove_wait(&mut self, id: usize, router: usize) {
         self.requests[id].waits.retain(|(at, _)| *at != router);
     }
 
-    /// A request got a slot of one router and no longer waits at the others.
-    fn granted(&mut self, id: usize, router: usize) {
+    /// Records that a request got a slot of a router, and removes it from the queues of the others.
+    fn record_grant(&mut self, id: usize, router: usize) {
         for (at, number) in std::mem::take(&mut self.requests[id].waits) {
             if at != router {
-                self.desks[at].remove_served(MODEL, number, self.now);
+                self.dispatchers[at].remove_served(MODEL, number, self.now);
             }
         }
         self.requests[id].lender = Some(router);
     }
 
-    fn borrow(&mut self, id: usize, peer: usize, at: Option<&str>) -> bool {
+    fn borrow_slot(&mut self, id: usize, peer: usize, at: Option<&str>) -> bool {
         let request = &self.requests[id];
         let team = format!("team-{}", request.team);
-        let want = want(self.mix, request, &team);
+        let submit_request = submit_request(self.mix, request, &team);
         self.messages += 1;
-        let Some(upstream) = self.desks[peer].lend(&want, at, self.now) else { return false };
+        let Some(upstream) = self.dispatchers[peer].lend(&submit_request, at, self.now) else { return false };
         self.messages += 1;
         self.requests[id].lender = Some(peer);
-        self.send(id, index(&upstream));
+        self.send(id, engine_index(&upstream));
         true
     }
 
-    /// The router whose slot a request uses.
-    fn slot_of(&self, id: usize) -> usize {
+    /// The router that owns the slot which a request uses.
+    fn slot_owner(&self, id: usize) -> usize {
         self.requests[id].lender.unwrap_or(self.requests[id].router)
     }
 
     fn send(&mut self, id: usize, engine: usize) {
-        let router = self.slot_of(id);
+        let router = self.slot_owner(id);
         let request = &self.requests[id];
         let class = &self.mix.classes[request.class];
-        let cut =
-            self.scene == Scene::CutCentre && self.now >= FAULT_AT && engine.is_multiple_of(self.mix.centres);
-        if self.engines[engine].dead || cut {
-            self.fail(id, engine);
+        let is_cut_off = self.scenario == Scenario::CutCentre
+            && self.now >= FAULT_AT_MS
+            && engine.is_multiple_of(self.mix.data_centres);
+        if self.engines[engine].is_down || is_cut_off {
+            self.retry_elsewhere(id, engine);
             return;
         }
         let run = Run {
@@ -427,141 +434,146 @@
             tokens: class.tokens,
             prefix: request.prefix,
         };
-        self.open[router][engine] += 1;
+        self.open_requests[router][engine] += 1;
         if let Some(times) = self.engines[engine].accept(run, self.now) {
             self.schedule(engine, id, times);
         }
     }
 
-    fn schedule(&mut self, engine: usize, request: usize, times: Times) {
+    fn schedule(&mut self, engine: usize, request: usize, times: RunTimes) {
         self.push(times.end, Event::End { engine, request, first: times.first });
     }
 
-    /// A connection was refused: the run certainly did not start, so it is tried elsewhere.
-    fn fail(&mut self, id: usize, engine: usize) {
-        let router = self.slot_of(id);
+    /// Retries a request elsewhere after its connection was refused. That is safe, since the run cannot have
+    /// started.
+    fn retry_elsewhere(&mut self, id: usize, engine: usize) {
+        let router = self.slot_owner(id);
         if matches!(self.policy, Policy::Tallypaddle | Policy::OneRouter) {
-            self.desks[router].pool.release(&name(engine));
-            self.desks[router].pool.record_failure(&name(engine), self.now);
+            self.dispatchers[router].pool.release(&engine_name(engine));
+            self.dispatchers[router].pool.record_failure(&engine_name(engine), self.now);
         }
         self.requests[id].lender = None;
-        if self.requests[id].attempts >= ATTEMPTS {
+        if self.requests[id].attempts >= MAX_ATTEMPTS {
             return;
         }
-        self.requests[id].avoid.push(name(engine));
+        self.requests[id].avoid.push(engine_name(engine));
         self.retries += 1;
         self.place(id);
     }
 
     fn end(&mut self, engine: usize, id: usize, first: u64) {
-        if self.engines[engine].dead {
+        if self.engines[engine].is_down {
             return;
         }
-        let next = self.engines[engine].end(self.now);
-        let router = self.slot_of(id);
-        self.open[router][engine] = self.open[router][engine].saturating_sub(1);
-        self.account(id, first);
+        let next = self.engines[engine].complete(self.now);
+        let router = self.slot_owner(id);
+        self.open_requests[router][engine] = self.open_requests[router][engine].saturating_sub(1);
+        self.record_result(id, first);
         if let Some((run, times)) = next {
             self.schedule(engine, run.request, times);
         }
         if matches!(self.policy, Policy::Tallypaddle | Policy::OneRouter) {
             let class = &self.mix.classes[self.requests[id].class];
             let gap = (self.now - first) as f64 / class.tokens as f64;
-            self.desks[router].pool.record_success(&name(engine), Some(gap));
-            self.desks[router].pool.release(&name(engine));
-            self.advance(router);
+            self.dispatchers[router].pool.record_success(&engine_name(engine), Some(gap));
+            self.dispatchers[router].pool.release(&engine_name(engine));
+            self.dispatch_waiting(router);
         }
     }
 
-    fn advance(&mut self, router: usize) {
-        for id in self.desks[router].expire(self.now) {
-            self.forget(id, router);
+    fn dispatch_waiting(&mut self, router: usize) {
+        for id in self.dispatchers[router].expire(self.now) {
+            self.remove_wait(id, router);
         }
-        for (id, choice) in self.desks[router].dispatch_waiting(self.now, |_| false) {
-            self.granted(id, router);
-            self.send(id, index(&choice.upstream));
+        for (id, choice) in self.dispatchers[router].dispatch_waiting(self.now, |_| false) {
+            self.record_grant(id, router);
+            self.send(id, engine_index(&choice.upstream));
         }
     }
 
-    fn account(&mut self, id: usize, first: u64) {
+    fn record_result(&mut self, id: usize, first: u64) {
         let request = &self.requests[id];
-        if !self.counted(request.arrived) {
+        if !self.is_counted(request.arrived) {
             return;
         }
         let class = &self.mix.classes[request.class];
         let waited = first - request.arrived;
-        self.gaps.push((self.now - first) / class.tokens.max(1));
+        self.token_gaps_ms.push((self.now - first) / class.tokens.max(1));
         if request.class == 0 {
-            self.firsts.push(waited);
+            self.first_token_ms.push(waited);
         }
         if waited <= class.deadline_ms {
-            self.good[request.class] += 1;
+            self.good_by_class[request.class] += 1;
             self.team_good[request.team] += 1;
         }
     }
 
     fn report(&mut self) {
-        self.reports.push(self.engines.iter().map(Engine::busy).collect());
-        let lag = if self.scene == Scene::Lag { (LAG_MS / REPORT_MS) as usize } else { 1 };
-        let Some(old) = self.reports.len().checked_sub(1 + lag).map(|at| self.reports[at].clone()) else {
+        self.load_history.push(self.engines.iter().map(Engine::busy).collect());
+        let lag =
+            if self.scenario == Scenario::Lag { (LAGGING_REPORT_AGE_MS / REPORT_MS) as usize } else { 1 };
+        let Some(old) = self.load_history.len().checked_sub(1 + lag).map(|at| self.load_history[at].clone())
+        else {
             return;
         };
-        for router in 0..self.desks.len() {
+        for router in 0..self.dispatchers.len() {
             for (engine, busy) in old.iter().enumerate() {
                 let report = LoadReport { slots: SLOTS, busy: *busy, leaving: false };
-                self.desks[router].pool.record_report(&name(engine), report, self.now);
-                for prefix in self.forgotten(engine) {
-                    self.desks[router].pool.record_cache_event(&name(engine), prefix, false);
+                self.dispatchers[router].pool.record_report(&engine_name(engine), report, self.now);
+                for prefix in self.uncached_prefixes(engine) {
+                    self.dispatchers[router].pool.record_cache_event(&engine_name(engine), prefix, false);
                 }
             }
-            self.advance(router);
+            self.dispatch_waiting(router);
         }
     }
 
-    /// Prefixes that an engine no longer has; the real engine's events say so, late.
-    fn forgotten(&self, engine: usize) -> Vec<u64> {
+    /// The prefixes that an engine does not have in its cache. Real engines report evictions in events, with
+    /// a delay.
+    fn uncached_prefixes(&self, engine: usize) -> Vec<u64> {
         let classes = self.mix.classes.iter().enumerate();
         let all = classes
             .flat_map(|(class, content)| (0..content.prefixes).map(move |of| (class as u64) << 32 | of));
-        all.filter(|prefix| !self.engines[engine].has(*prefix)).collect()
+        all.filter(|prefix| !self.engines[engine].is_cached(*prefix)).collect()
     }
 
     fn fault(&mut self) {
-        match self.scene {
-            Scene::Dies => self.engines[0].dead = true,
-            Scene::Slow => self.engines[0].slow = 10.0,
-            Scene::Restart => {
-                let routers = self.desks.len();
+        match self.scenario {
+            Scenario::Dies => self.engines[0].is_down = true,
+            Scenario::Slow => self.engines[0].slowdown = 10.0,
+            Scenario::Restart => {
+                let routers = self.dispatchers.len();
                 for router in 0..routers.min(3) {
-                    let mut fresh = desk(self.mix, router, routers);
-                    // What it had open goes on at the engines; its successor does not know of it.
-                    fresh.pool.trust_reports_until(self.now + 30_000);
-                    std::mem::swap(&mut self.desks[router], &mut fresh);
+                    let mut successor = new_dispatcher(self.mix, router, routers);
+                    // Requests that the old process had open continue on the engines, unknown to its
+                    // successor.
+                    successor.pool.trust_reports_until(self.now + 30_000);
+                    std::mem::swap(&mut self.dispatchers[router], &mut successor);
                 }
             }
-            Scene::Calm | Scene::Lag | Scene::CutCentre => {}
+            Scenario::Calm | Scenario::Lag | Scenario::CutCentre => {}
         }
     }
 
-    fn outcome(mut self) -> Outcome {
-        let seconds = (RUN_MS - 25_000 - WARM_MS) as f64 / 1_000.0;
-        let good: u64 = self.good.iter().sum();
-        let offered: u64 = self.offered.iter().sum();
-        let hits: u64 = self.engines.iter().map(|engine| engine.hits).sum();
-        let lookups: u64 = self.engines.iter().map(|engine| engine.lookups).sum();
-        let overrun: u64 = self.engines.iter().map(|engine| engine.overrun_ms).sum();
-        self.firsts.sort_unstable();
-        self.gaps.sort_unstable();
+    fn into_outcome(mut self) -> Outcome {
+        let seconds = (RUN_MS - 25_000 - WARMUP_MS) as f64 / 1_000.0;
+        let good: u64 = self.good_by_class.iter().sum();
+        let offered: u64 = self.offered_by_class.iter().sum();
+        let hits: u64 = self.engines.iter().map(|engine| engine.cache_hits).sum();
+        let lookups: u64 = self.engines.iter().map(|engine| engine.cache_lookups).sum();
+        let overrun_ms: u64 = self.engines.iter().map(|engine| engine.overrun_ms).sum();
+        self.first_token_ms.sort_unstable();
+        self.token_gaps_ms.sort_unstable();
         Outcome {
             goodput: good as f64 / seconds,
-            share: percent(good, offered),
-            urgent_share: percent(self.good[0], self.offered[0]),
-            first: [0.5, 0.95, 0.99].map(|quantile| at(&self.firsts, quantile)),
-            gap: at(&self.gaps, 0.95),
-            overrun: overrun as f64 / 1_000.0,
-            hits: percent(hits, lookups),
-            retries: percent(self.retries, self.requests.len() as u64),
-            messages: self.messages as f64 / self.requests.len().max(1) as f64,
+            goodput_percent: percent(good, offered),
+            urgent_goodput_percent: percent(self.good_by_class[0], self.offered_by_class[0]),
+            urgent_ttft_ms: [0.5, 0.95, 0.99].map(|quantile| value_at(&self.first_token_ms, quantile)),
+            gap_ms: value_at(&self.token_gaps_ms, 0.95),
+            overrun_slot_s: overrun_ms as f64 / 1_000.0,
+            cache_hit_percent: percent(hits, lookups),
+            retry_percent: percent(self.retries, self.requests.len() as u64),
+            messages_per_request: self.messages as f64 / self.requests.len().max(1) as f64,
             fairness: fairness(&self.team_good, &self.team_offered),
         }
     }
--- a/examples/bench/policy/stats.rs
+++ b/examples/bench/policy/stats.rs
@@ -1,20 +1,20 @@
-//! The figures that are made of what a world counted.
+//! Statistics over the counters of a simulation.
 
 use std::collections::BTreeMap;
 
-/// A part of a whole in percent.
+/// A share in percent.
 pub fn percent(part: u64, whole: u64) -> f64 {
     100.0 * part as f64 / whole.max(1) as f64
 }
 
 /// The value at a quantile of sorted values.
-pub fn at(sorted: &[u64], quantile: f64) -> u64 {
+pub fn value_at(sorted: &[u64], quantile: f64) -> u64 {
     let last = sorted.len().saturating_sub(1);
     sorted.get((last as f64 * quantile) as usize).copied().unwrap_or(0)
 }
 
-/// Jain's index of what each team got, against the lesser of its offer and an equal share of all that was
-/// served: 1 is fair.
+/// Jain's fairness index of the teams, where 1 is fair. The requests of a team that were served in time are
+/// related to those that it offered or to an equal share of all that were served in time, whichever is less.
 pub fn fairness(good: &[u64], offered: &[u64]) -> f64 {
     let total: u64 = good.iter().sum();
     let equal = total as f64 / good.len() as f64;
--- a/examples/bench/router.rs
+++ b/examples/bench/router.rs
@@ -1,21 +1,21 @@
-//! One router between callers and engines: what it adds to the latency, what it carries, what a stream costs.
+//! Measures one router between callers and engines: the latency it adds, its throughput, and the cost of an
+//! open stream.
 
-use crate::process::{cpu, memory};
+use crate::process::{cpu_time, resident_memory};
 use harness::{Ask, Caller, Fleet, Plan};
 use hdrhistogram::Histogram;
 use standin::Shape;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Requests of one measurement.
+/// The number of requests in each measurement.
 const REQUESTS: usize = 6_000;
-/// Streams held open at once.
+/// The numbers of streams that are open at once.
 const STREAMS: [usize; 3] = [250, 500, 1_000];
-/// Microseconds in a millisecond.
-const MICROS: f64 = 1_000.0;
+const MICROS_PER_MS: f64 = 1_000.0;
 
-struct Load {
-    times: Histogram<u64>,
+struct LoadResult {
+    latencies: Histogram<u64>,
     elapsed: Duration,
     failed: usize,
 }
@@ -39,43 +39,45 @@
     plan
 }
 
-async fn load(caller: &Caller, requests: usize, parallel: usize, tokens: u64) -> Load {
-    let begun = Instant::now();
+async fn run_load(caller: &Caller, requests: usize, parallel: usize, tokens: u64) -> LoadResult {
+    let started = Instant::now();
     let tasks: Vec<_> = (0..parallel)
-        .map(|lane| {
+        .map(|worker| {
             let caller = caller.clone();
             net::exec::spawn(async move {
-                let mut times = vec![];
+                let mut latencies = vec![];
                 let mut failed = 0;
                 for index in 0..requests / parallel {
-                    let ask = Ask::new("narrator", &format!("Cell {lane} {index}"), tokens);
+                    let ask = Ask::new("narrator", &format!("Cell {worker} {index}"), tokens);
                     let sent = Instant::now();
                     let answer = caller.ask(&ask).await;
                     if answer.is_whole(&ask) {
-                        times.push(sent.elapsed().as_micros() as u64);
+                        latencies.push(sent.elapsed().as_micros() as u64);
                     } else {
                         failed += 1;
                     }
                 }
-                (times, failed)
+                (latencies, failed)
             })
         })
         .collect();
-    let mut times = Histogram::new(3).expect("a histogram");
+    let mut latencies = Histogram::new(3).expect("three significant digits must be valid");
     let mut failed = 0;
     for task in tasks {
-        let (some, bad) = task.await;
-        some.into_iter().for_each(|time| times.record(time).expect("a time in range"));
-        failed += bad;
+        let (task_latencies, task_failed) = task.await;
+        task_latencies.into_iter().for_each(|time| {
+            latencies.record(time).expect("the latency must be in the range of the histogram")
+        });
+        failed += task_failed;
     }
-    Load { times, elapsed: begun.elapsed(), failed }
+    LoadResult { latencies, elapsed: started.elapsed(), failed }
 }
 
-fn millis(times: &Histogram<u64>, quantile: f64) -> f64 {
-    times.value_at_quantile(quantile) as f64 / MICROS
+fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
+    latencies.value_at_quantile(quantile) as f64 / MICROS_PER_MS
 }
 
-/// Measures and prints.
+/// Runs all measurements and prints their tables.
 pub async fn run(program: &Path) {
     latency(program).await;
     streams(program).await;
@@ -83,34 +85,35 @@
 
 async fn latency(program: &Path) {
     let fleet = Fleet::start(program, plan(Duration::ZERO)).await;
-    let direct = Caller::new(net::Client::new(), fleet.engines[0].address(), "none".to_owned()).straight();
-    let through = fleet.caller(0);
+    let direct_caller =
+        Caller::new(net::Client::new(), fleet.engines[0].address(), "none".to_owned()).straight();
+    let routed_caller = fleet.caller(0);
     let pid = fleet.nodes[0].process.id();
-    load(&through, 500, 8, 1).await;
-    load(&direct, 500, 8, 1).await;
+    run_load(&routed_caller, 500, 8, 1).await;
+    run_load(&direct_caller, 500, 8, 1).await;
     println!(
         "| parallel | way | requests/s | p50 ms | p99 ms | failed | router CPU s | requests/s per core |"
     );
     println!("|---:|---|---:|---:|---:|---:|---:|---:|");
     for parallel in [1, 8, 64] {
-        let plain = load(&direct, REQUESTS, parallel, 1).await;
-        let before = cpu(pid);
-        let routed = load(&through, REQUESTS, parallel, 1).await;
-        let used = (cpu(pid) - before).as_secs_f64();
-        for (way, load, used) in [("engine", &plain, 0.0), ("router", &routed, used)] {
-            let rate = load.times.len() as f64 / load.elapsed.as_secs_f64();
-            let per_core = if used > 0.0 { load.times.len() as f64 / used } else { 0.0 };
+        let direct_load = run_load(&direct_caller, REQUESTS, parallel, 1).await;
+        let before = cpu_time(pid);
+        let routed_load = run_load(&routed_caller, REQUESTS, parallel, 1).await;
+        let used = (cpu_time(pid) - before).as_secs_f64();
+        for (way, load, used) in [("engine", &direct_load, 0.0), ("router", &routed_load, used)] {
+            let rate = load.latencies.len() as f64 / load.elapsed.as_secs_f64();
+            let per_core = if used > 0.0 { load.latencies.len() as f64 / used } else { 0.0 };
             println!(
                 "| {parallel} | {way} | {rate:.0} | {:.3} | {:.3} | {} | {used:.2} | {per_core:.0} |",
-                millis(&load.times, 0.5),
-                millis(&load.times, 0.99),
+                quantile_ms(&load.latencies, 0.5),
+                quantile_ms(&load.latencies, 0.99),
                 load.failed
             );
         }
         println!(
             "| {parallel} | added | | {:.3} | {:.3} | | | |",
-            millis(&routed.times, 0.5) - millis(&plain.times, 0.5),
-            millis(&routed.times, 0.99) - millis(&plain.times, 0.99)
+            quantile_ms(&routed_load.latencies, 0.5) - quantile_ms(&direct_load.latencies, 0.5),
+            quantile_ms(&routed_load.latencies, 0.99) - quantile_ms(&direct_load.latencies, 0.99)
         );
     }
 }
@@ -122,7 +125,7 @@
         let fleet = Fleet::start(program, plan(Duration::from_millis(100))).await;
         let pid = fleet.nodes[0].process.id();
         fleet.caller(0).chat("narrator", "warm up", 2).await;
-        let before = memory(pid);
+        let before = resident_memory(pid);
         let tasks: Vec<_> = (0..count)
             .map(|index| {
                 let caller = fleet.caller(0);
@@ -131,21 +134,21 @@
             })
             .collect();
         net::exec::sleep(Duration::from_secs(2)).await;
-        let held = memory(pid);
-        let (cpu_before, begun) = (cpu(pid), Instant::now());
+        let resident = resident_memory(pid);
+        let (cpu_before, started) = (cpu_time(pid), Instant::now());
         net::exec::sleep(Duration::from_secs(3)).await;
-        let used = (cpu(pid) - cpu_before).as_secs_f64();
-        let seconds = begun.elapsed().as_secs_f64();
+        let used = (cpu_time(pid) - cpu_before).as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         let tokens = count as f64 * seconds * 10.0;
-        let mut whole = 0;
+        let mut complete = 0;
         for task in tasks {
-            whole += usize::from(task.await);
+            complete += usize::from(task.await);
         }
-        assert_eq!(whole, count, "every stream is whole");
+        assert_eq!(complete, count, "every stream must be complete");
         println!(
             "| {count} | {:.1} | {:.1} | {:.0} | {:.0} |",
-            held as f64 / 1e6,
-            held.saturating_sub(before) as f64 / 1e3 / count as f64,
+            resident as f64 / 1e6,
+            resident.saturating_sub(before) as f64 / 1e3 / count as f64,
             tokens / seconds,
             if used > 0.0 { tokens / used } else { 0.0 }
         );
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -1,7 +1,7 @@
-//! The main job on an embedded default: a small fleet on loopback serves a few requests, charges them, and
-//! explains what it did. `--hold` keeps it up for a try by hand.
+//! Starts a small fleet on loopback addresses, sends a few requests through it, and prints their charges and
+//! the routers' decisions. With `--hold`, the fleet stays up until Ctrl-C, to be tried by hand.
 //!
-//! The routers are processes of their own: this program starts itself again with `serve`.
+//! The routers are separate processes: this program starts itself with `serve`.
 
 use harness::{Ask, Fleet, Plan, audit};
 use std::path::PathBuf;
@@ -31,34 +31,34 @@
     net::exec::block_on(async {
         let mut fleet = Fleet::start(&program, Plan::small()).await;
         println!("3 routers, 3 engines, 1 plain service and the platform are up; bundle 1 is in force\n");
-        let served = serve_some(&fleet).await;
+        let served = send_requests(&fleet).await;
         if hold {
-            hold_up(&fleet).await;
+            hold_until_stopped(&fleet).await;
         }
-        explain(&mut fleet).await;
+        print_audit_and_decisions(&mut fleet).await;
         if served { std::process::ExitCode::SUCCESS } else { std::process::ExitCode::FAILURE }
     })
 }
 
-async fn serve_some(fleet: &Fleet) -> bool {
-    let asks = [
+async fn send_requests(fleet: &Fleet) -> bool {
+    let requests = [
         (0, 0, Ask::new("narrator", "Describe the storm over Regina from this sweep.", 24).streamed()),
         (0, 1, Ask::new("narrator", "Summarise the cell west of Saskatoon.", 12)),
         (1, 2, Ask::new("hail-flag", "Is hail likely on quarter section NE-12?", 4).key("flag-ne-12")),
         (1, 0, Ask::new("hail-flag", "Is hail likely on quarter section NE-12?", 4).key("flag-ne-12")),
         (1, 1, Ask::new("narrator", "Brief the adjusters.", 16)),
     ];
-    let mut all = true;
+    let mut all_complete = true;
     println!("{:<14} {:<6} {:<10} {:>6}  {:<5}  text", "team", "router", "model", "status", "whole");
-    for (team, router, ask) in asks {
-        let answer = fleet.caller_of(team, router).ask(&ask).await;
-        let whole = answer.is_whole(&ask);
-        all &= whole;
+    for (team, router, request) in requests {
+        let answer = fleet.caller_of(team, router).ask(&request).await;
+        let is_complete = answer.is_whole(&request);
+        all_complete &= is_complete;
         println!(
-            "{:<14} {:<6} {:<10} {:>6}  {whole:<5}  {}",
+            "{:<14} {:<6} {:<10} {:>6}  {is_complete:<5}  {}",
             fleet.plan.teams[team].name,
             fleet.nodes[router].name,
-            ask.model,
+            request.model,
             answer.status,
             answer.text.chars().take(40).collect::<String>()
         );
@@ -66,11 +66,13 @@
     let caller = fleet.caller_of(1, 1);
     let tile = caller.send(caller.request("GET", "/services/tiles/layer/radar/7/21/42", "")).await;
     println!("{:<14} {:<6} {:<10} {:>6}", fleet.plan.teams[1].name, "vm-2", "tiles", tile.status);
-    println!("\nThe two hail flags have one key, so the second answer is the first one's: it ran once.");
-    all && tile.status == 200
+    println!(
+        "\nThe two hail-flag requests share an idempotency key: one of them ran, and both got its answer."
+    );
+    all_complete && tile.status == 200
 }
 
-async fn hold_up(fleet: &Fleet) {
+async fn hold_until_stopped(fleet: &Fleet) {
     let address = fleet.nodes[0].callers;
     let key = fleet.plan.teams[0].key();
     println!("\nThe fleet stays up until Ctrl-C. Try:\n");
@@ -83,7 +85,7 @@
     let _ = net::signal::terminated().await;
 }
 
-async fn explain(fleet: &mut Fleet) {
+async fn print_audit_and_decisions(fleet: &mut Fleet) {
     for node in &fleet.nodes {
         node.process.terminate();
     }
