--- a/examples/bench/main.rs
+++ b/examples/bench/main.rs
@@ -1,5 +1,6 @@
-//! Benchmarks with real router processes and stand-in engines, or in virtual time: `cargo run --release
-//! --example bench -- NAME`.
+//! Benchmarks with real router processes and stand-in engines, or in virtual time.
+//!
+//! Usage: `cargo run --release --example bench -- NAME`
 //!
 //! Each benchmark prints tables in Markdown. It sends load to loopback addresses only, and ends by itself.
 
