--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -195,7 +195,8 @@
         Some((self.step, now + ms * self.slowdown))
     }
 
-    /// The prompt tokens to read in a step, by index of the run. Prompts are read in the order of arrival.
+    /// The prompt tokens to read in a step, by index of the run. Prompts are read in the order in which their
+    /// runs started.
     fn plan_reads(&self) -> Vec<(usize, u64)> {
         let mut remaining = self.spec.max_read_tokens;
         let mut plan = vec![];
--- a/crates/emulator/src/harmful.rs
+++ b/crates/emulator/src/harmful.rs
@@ -103,8 +103,8 @@
     }
 
     /// Records the crash of an engine: under the harmful request, which the router `cause` dispatched, or on
-    /// its own if there is no `cause`. `bystanders` holds the router and the number of each other run on the
-    /// engine, and the time since its first answer. Returns the events that follow.
+    /// its own if there is no `cause`. `bystanders` holds the router and the number of each other job that
+    /// ran or waited on the engine, and the time since its first answer. Returns the events that follow.
     pub(crate) fn record_crash(
         &mut self,
         engine: usize,
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -87,7 +87,7 @@
     AdaptDivisions,
     HarmfulArrival,
     CrashByHarmful { router: usize, engine: usize },
-    RouterEvent { router: usize, notice: Option<Notice> },
+    UpdateQuarantine { router: usize, notice: Option<Notice> },
     Restart { engine: usize },
     EndLeaving { engine: usize },
 }
@@ -236,7 +236,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrive(),
-            Event::ReachEngine { engine, id } => self.reach(engine, id),
+            Event::ReachEngine { engine, id } => self.reach_engine(engine, id),
             Event::ReceiveHint { router, engine, hint } => {
                 self.routers[router].hear_dispatch(&self.names[engine], &hint, self.now as Millis);
             }
@@ -264,11 +264,11 @@
                     self.crash(engine, Some(router));
                 }
             }
-            Event::RouterEvent { router, notice: Some(notice) } => {
+            Event::UpdateQuarantine { router, notice: Some(notice) } => {
                 let events = self.quarantine.receive(router, &notice, self.now, &mut self.random);
                 self.schedule(events);
             }
-            Event::RouterEvent { router, notice: None } => {
+            Event::UpdateQuarantine { router, notice: None } => {
                 let events = self.quarantine.decide(router, self.now, &mut self.random);
                 self.schedule(events);
             }
@@ -351,7 +351,7 @@
 
     fn schedule(&mut self, events: Vec<RouterEvent>) {
         for RouterEvent { at, router, notice } in events {
-            self.push(at, Event::RouterEvent { router, notice });
+            self.push(at, Event::UpdateQuarantine { router, notice });
         }
     }
 
@@ -360,9 +360,9 @@
         self.push(self.now + DIVISION_INTERVAL_MS, Event::AdaptDivisions);
         let now = self.now as Millis;
         let Some((first, others)) = self.routers.split_first_mut() else { return };
-        for (service, short) in first.adapt_divisions(now) {
+        for (service, reserved) in first.adapt_divisions(now) {
             for other in others.iter_mut() {
-                other.follow_division(service, short);
+                other.follow_division(service, reserved);
             }
         }
     }
@@ -451,7 +451,7 @@
         true
     }
 
-    fn reach(&mut self, engine: usize, id: usize) {
+    fn reach_engine(&mut self, engine: usize, id: usize) {
         let Some(router) = self.open_requests.get(&id).map(|open_request| open_request.router) else {
             return;
         };
--- a/examples/bench/budgets.rs
+++ b/examples/bench/budgets.rs
@@ -82,7 +82,7 @@
     account: Account,
     sequence: u64,
     missing: u64,
-    exposure_shortfall: u64,
+    extra_exposure: u64,
     last_sync: u64,
     pool_free: Option<u64>,
 }
@@ -167,7 +167,7 @@
                 let state = &mut self.routers[router];
                 state.missing = state.missing.max(missing);
             }
-            ReserveOutcome::ExposureExceeded => self.routers[router].exposure_shortfall = class.0,
+            ReserveOutcome::ExposureExceeded => self.routers[router].extra_exposure = class.0,
         }
         self.sync(router);
         if self.routers[router].grant.reserve(class.0) == ReserveOutcome::Reserved {
@@ -177,11 +177,9 @@
             // The keeper of a router is its neighbour, and lifts the router's exposure limit while it can be
             // reached. If it can't, the limit is only lifted if refusals weigh more than overspend.
             let is_keeper_reachable = self.reaches_peer(router, (router + 1) % ROUTERS);
-            if self.routers[router].exposure_shortfall > 0
-                && (is_keeper_reachable || self.refusals_weigh_more)
-            {
+            if self.routers[router].extra_exposure > 0 && (is_keeper_reachable || self.refusals_weigh_more) {
                 self.routers[router].grant.lift_exposure_limit();
-                self.routers[router].exposure_shortfall = 0;
+                self.routers[router].extra_exposure = 0;
             }
             self.borrow(router, class.0.saturating_sub(self.routers[router].grant.available()));
         }
@@ -204,7 +202,7 @@
         let can_settle = self.reaches_platform(router) && self.policy != Policy::StaticSplit;
         let state = &mut self.routers[router];
         let known_empty = state.pool_free == Some(0)
-            && state.exposure_shortfall == 0
+            && state.extra_exposure == 0
             && now < state.last_sync + EMPTY_POOL_RETRY_MS;
         if !can_settle || known_empty || now < state.last_sync + MIN_SETTLEMENT_INTERVAL_MS {
             return;
@@ -213,15 +211,15 @@
         let target = state.demand.target(now, &self.holding_policy);
         let off_target = is_off_target(state.grant.available(), target, state.pool_free);
         if state.missing == 0
-            && state.exposure_shortfall == 0
+            && state.extra_exposure == 0
             && !state.grant.has_unsettled_changes()
             && !off_target
         {
             return;
         }
         let missing = std::mem::take(&mut state.missing);
-        let exposure_headroom = state.demand.exposure_headroom(&self.holding_policy)
-            + std::mem::take(&mut state.exposure_shortfall);
+        let exposure_headroom =
+            state.demand.exposure_headroom(&self.holding_policy) + std::mem::take(&mut state.extra_exposure);
         let Some(entry) =
             state.grant.open_entry(target, missing, exposure_headroom, self.credits.clone(), usize::MAX)
         else {
@@ -231,7 +229,7 @@
         let entries = [(BUDGET.to_owned(), entry)].into();
         let batch = Batch { sequence: state.sequence, entries, keeper: String::new() };
         post(&mut state.account, &mut self.pools, &|_| false, &batch, ROUTERS as u64)
-            .expect("a batch in order");
+            .expect("the batch must be the next in order");
         state.grant.close_entry(&state.account.lines[BUDGET]);
         state.pool_free = self.pools.get(BUDGET).map(|pool| pool.free);
         state.last_sync = now;
