--- a/examples/bench/policy/simulation.rs
+++ b/examples/bench/policy/simulation.rs
@@ -257,7 +257,7 @@
             draw -= self.mix.classes[class].share;
             class += 1;
         }
-        // The sizes of the teams differ: each sends 40 % of the requests that the teams before it left.
+        // A few teams are large: each sends 40 % of the requests that the teams before it left.
         let mut team = 0;
         while team + 1 < TEAMS && self.random.gen_bool(0.6) {
             team += 1;
