--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,19 +1,20 @@
-//! Engines, callers and routers in virtual time, so that the decisions of [`route`] can be played on a load.
+//! Discrete-event simulation of engines, callers and routers, to evaluate the decisions of [`route`] under
+//! load.
 //!
-//! The engine model follows what the users' pages say of their engines; nothing of it is known to the routers, which
-//! run the same code as in the programs.
+//! The engine model follows the descriptions of the engines on the users' pages. The routers know nothing of
+//! it; they run the same decision code as the programs.
 
-mod deadly;
 mod engine;
+mod harmful;
 mod load;
 mod outcome;
-mod scenes;
-mod warming;
-mod world;
+mod restart;
+mod scenarios;
+mod simulation;
 
-pub use engine::{Counts, Engine, Happened, Job, Part, Spec};
-pub use load::{Kind, Request, Shared, Size};
-pub use outcome::{Deadly, Outcome, Share, Signals};
-pub use scenes::{plains, reports, storms};
-pub use warming::{Bound, Received, Return, play_return};
-pub use world::{Fault, Scene, play};
+pub use engine::{Engine, EngineCounters, EngineSpec, Job, Part, StepEvent};
+pub use load::{Request, RequestKind, SharedParts, SizeDistribution};
+pub use outcome::{HarmfulOutcome, KindOutcome, Outcome, SignalOutcome};
+pub use restart::{LimitMethod, RestartOutcome, RestartScenario, simulate_restart};
+pub use scenarios::{large_fleet, narratives_and_summaries, reports_and_captions};
+pub use simulation::{Fault, Scenario, simulate};
