--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -225,7 +225,7 @@
             Event::Arrive => self.arrive(),
             Event::Reach { engine, id } => self.reach(engine, id),
             Event::Hear { router, engine, told } => {
-                self.routers[router].hear_dispatch(&self.names[engine], &told, self.now as Millis);
+                self.routers[router].record_dispatch_hint(&self.names[engine], &told, self.now as Millis);
             }
             Event::Step { engine, number } => self.end_step(engine, number),
             Event::Leave { id } => self.leave(id),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -96,14 +96,14 @@
             return Outcome::NotSent("the upstream accepts no more requests now".to_owned());
         };
         if self.request.ask.prompt.is_some() && node.hints.should_announce(chosen.uncached, node.now()) {
-            let told = node.places().take_hint(chosen);
-            node.hints.announce_dispatch(&chosen.upstream, told);
+            let hint = node.placer().take_hint(chosen);
+            node.hints.announce_dispatch(&chosen.upstream, hint);
         }
         let max_connections = node.max_connections(connection_limit);
         node.load.record_sent(self.request.body.len());
         // While the request waits for a connection, the upstream may announce that it leaves or ask for a
         // back-off.
-        let is_wanted = || node.places().admits(&chosen.upstream, node.now());
+        let is_wanted = || node.placer().admits(&chosen.upstream, node.now());
         let sending = node.pool.send("dispatch", listing.address, max_connections, request, is_wanted);
         let began = node.now();
         let outcome = self.wait_for_first_answer(chosen, slot, splitter, may_try_elsewhere, sending).await;
@@ -133,7 +133,7 @@
         let (outcome, slot) = match result {
             Some(done) => done,
             None if may_try_elsewhere && self.kind().is_repeatable() && !self.remaining().is_zero() => {
-                self.node.places().record_error(&chosen.upstream);
+                self.node.placer().record_error(&chosen.upstream);
                 return Outcome::NoValidAnswer(format!("no answer within {} ms", timeout.as_millis()));
             }
             None => {
@@ -213,7 +213,7 @@
     fn apply_upstream_state(&self, slot: &UpstreamSlot<W, S>, head: &response::Parts, check: ResponseCheck) {
         let node = &self.node;
         let upstream = slot.upstream.as_str();
-        if node.wire.is_leaving(head) && node.places().mark_leaving(upstream, node.now()) {
+        if node.wire.is_leaving(head) && node.placer().mark_leaving(upstream, node.now()) {
             log::info!(
                 "upstream: event=leaves upstream={upstream} told-by=answer request={}",
                 self.request.ask.id
@@ -225,10 +225,10 @@
             node.hints.announce_leaving(upstream, started);
         }
         if let Some(ms) = self.value_or_warn(upstream, node.wire.warmup_ms(head)) {
-            node.places().warm_up(upstream, ms, node.now());
+            node.placer().warm_up(upstream, ms, node.now());
         }
         if let Some(asked_ms) = self.value_or_warn(upstream, node.wire.retry_after_ms(head)) {
-            let ms = node.places().back_off(upstream, asked_ms, node.now());
+            let ms = node.placer().back_off(upstream, asked_ms, node.now());
             log::info!(
                 "upstream: event=rests upstream={upstream} ms={ms} asked-ms={asked_ms} request={}",
                 self.request.ask.id
@@ -349,31 +349,31 @@
     /// Updates what is known of the upstream with the outcome of an attempt.
     fn record_upstream_outcome(&self, chosen: &Placement, began: u64, outcome: &Outcome<W, S>) {
         let now = self.node.now();
-        let mut places = self.node.places();
+        let mut placer = self.node.placer();
         let ejected = match outcome {
             Outcome::Complete(..) => {
-                let pace = (!self.kind().is_stream()).then_some((now - began) as f64);
-                places.record_success(&chosen.upstream, pace);
+                let call_ms = (!self.kind().is_stream()).then_some((now - began) as f64);
+                placer.record_success(&chosen.upstream, call_ms);
                 false
             }
             Outcome::Stream(..) => {
-                places.record_success(&chosen.upstream, None);
+                placer.record_success(&chosen.upstream, None);
                 false
             }
             Outcome::ServerError(..) => {
-                places.record_error(&chosen.upstream);
+                placer.record_error(&chosen.upstream);
                 false
             }
             Outcome::NotSent(_) => false,
             // The upstream itself announced that it accepts no requests, so there is no need to eject it on a
             // guess.
-            Outcome::NotRun(_) if !places.admits(&chosen.upstream, now) => false,
+            Outcome::NotRun(_) if !placer.admits(&chosen.upstream, now) => false,
             Outcome::NotRun(_)
             | Outcome::ConnectionBroken(_)
             | Outcome::NoValidAnswer(_)
-            | Outcome::TimedOut => places.record_failure(&chosen.upstream, now),
+            | Outcome::TimedOut => placer.record_failure(&chosen.upstream, now),
         };
-        drop(places);
+        drop(placer);
         if let Outcome::Complete(..) | Outcome::ServerError(..) = outcome {
             self.record_survival();
         }
--- a/crates/gateway/src/budget_state.rs
+++ b/crates/gateway/src/budget_state.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-// Most of the ratios and times below were tuned together on the standard days of two deployments, not one by
-// one: see the table in docs/design/platform.md.
+// Most of the ratios and times below belong together as one set of values: see the table in
+// docs/design/platform.md.
 
 /// The largest number of charges settled in one batch.
 const MAX_BATCH_CHARGES: usize = 64;
@@ -146,8 +146,8 @@
 
     /// Whether the last known recall is too recent for another one.
     pub(crate) fn has_recent_recall(&self, now: u64, writers: u64) -> bool {
-        let again = RECALL_INTERVAL_MS.max(writers * RECALL_INTERVAL_PER_WRITER_MS);
-        self.last_recall_ms.is_some_and(|asked_ms| now.saturating_sub(asked_ms) < again)
+        let interval_ms = RECALL_INTERVAL_MS.max(writers * RECALL_INTERVAL_PER_WRITER_MS);
+        self.last_recall_ms.is_some_and(|recalled_ms| now.saturating_sub(recalled_ms) < interval_ms)
     }
 
     /// Whether no tokens are held, in use or waiting to be settled.
@@ -219,14 +219,14 @@
     /// spent, since then every token has to be within reach of every gateway. A gateway that does not own the
     /// budget has drawn tokens only because its owners did not answer, and holds what its own requests used
     /// recently.
-    fn target_tokens(&self, now: u64, team: &str, terms: &HoldingPolicy, owners: u64) -> u64 {
+    fn target_tokens(&self, now: u64, team: &str, policy: &HoldingPolicy, owners: u64) -> u64 {
         let left = self.unspent() as f64;
         if left < self.level.tokens as f64 * NEARLY_SPENT_RATIO {
             return 0;
         }
         let max_held = left * MAX_HELD_RATIO;
         let share = if owners == 0 { 0.0 } else { self.use_share(team, owners) };
-        let target = self.demand.target(now, terms).min(max_held as u64).max((max_held * share) as u64);
+        let target = self.demand.target(now, policy).min(max_held as u64).max((max_held * share) as u64);
         match self.rows.pool.wanted {
             // Free tokens are left to the requests that wait for them.
             true => self.kept(target).min(self.grant.available()),
@@ -275,8 +275,8 @@
         if elapsed >= SETTLE_INTERVAL / 2 {
             self.update_averages(elapsed.as_millis() as u64);
         }
-        let terms = HoldingPolicy { cover_s: DEMAND_COVER_S, min_tokens: 0, expose_s: DEMAND_COVER_S };
-        let target = match self.target_tokens(now, team, &terms, owners) {
+        let policy = HoldingPolicy { cover_s: DEMAND_COVER_S, min_tokens: 0, expose_s: DEMAND_COVER_S };
+        let target = match self.target_tokens(now, team, &policy, owners) {
             _ if closing || self.is_level_lowered => 0,
             target => match self.recalled_tokens {
                 Some(missing) => target.min(self.kept_after_recall(missing)),
--- a/crates/gateway/src/denials.rs
+++ b/crates/gateway/src/denials.rs
@@ -15,7 +15,7 @@
 /// A row of the table.
 #[derive(Debug, Deserialize, Serialize)]
 struct Entry {
-    /// The upstreams that the request terminated.
+    /// The upstreams that crashed while they ran the request.
     upstreams: Upstreams,
     /// When the request was last denied or sent again, or when its denial was lifted, in milliseconds of the
     /// store's clock.
@@ -30,7 +30,7 @@
 pub struct Denial {
     /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The upstreams that it terminated.
+    /// The upstreams that crashed while they ran it.
     pub upstreams: Upstreams,
     /// The remaining time of the denial, in milliseconds.
     pub left_ms: Millis,
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -124,7 +124,7 @@
         let detail = format!("team={team} route={} {version} fingerprint={fingerprint}", route.name);
         return Err(refused(refusal, &detail));
     }
-    node.with_retry_window(&service, |with_retry_window, now| with_retry_window.record_request(now));
+    node.with_retry_window(&service, |window, now| window.record_request(now));
     let reservation = match reserve(node, &manifest, &route, &service, team.as_deref(), &ask).await {
         Ok(reservation) => reservation,
         Err((denied, ready_ms, detail)) => {
@@ -276,9 +276,9 @@
     pub(crate) fn take_repeat(&self, reason: &str) -> bool {
         let service = &self.request.service;
         let chance = xxh3_64(self.request.ask.id.as_bytes()) as f64 / u64::MAX as f64;
-        let (is_allowed, count) = self.node.with_retry_window(service, |with_retry_window, now| {
-            (with_retry_window.try_repeat(now, chance), with_retry_window.count(now))
-        });
+        let (is_allowed, count) = self
+            .node
+            .with_retry_window(service, |window, now| (window.try_repeat(now, chance), window.count(now)));
         let event = match is_allowed {
             true => "repeat",
             false => "repeat-denied",
@@ -303,9 +303,9 @@
         if self.progress().ran > 0 {
             return None;
         }
-        let rest_ms = self.node.places().wait_ms(&self.request.service, self.node.now())?;
+        let wait_ms = self.node.placer().wait_ms(&self.request.service, self.node.now())?;
         Some(Refusal::UpstreamsUnavailable(route::retry_after_ms(
-            rest_ms,
+            wait_ms,
             xxh3_64(self.request.ask.id.as_bytes()),
         )))
     }
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -1,6 +1,6 @@
 //! Datagrams between gateways, called hints. They announce dispatches, upstreams that leave or limit
-//! requests, and requests that terminate upstreams. Without them, prompts would queue behind those of other
-//! gateways, and requests that terminate upstreams would be dispatched to more of them.
+//! requests, and requests that crash upstreams. Without them, prompts would queue behind those of other
+//! gateways, and requests that crash upstreams would be dispatched to more of them.
 //!
 //! Datagrams can be lost. If a dispatch is not announced, other gateways make a worse choice of upstream, and
 //! nothing else happens. Hints of leaving upstreams, limits and quarantined requests are sent several times,
@@ -38,7 +38,7 @@
     Dispatch { upstream: String, told: DispatchHint },
     /// The engines of a service that are reserved for short requests, from the gateway that decides on them.
     Division { service: String, short: Vec<String> },
-    /// What is known about a request that terminates upstreams.
+    /// What is known about a request that crashes upstreams.
     Quarantine(Notice),
     /// An upstream announced in an answer that it is leaving. `started` is when it started, if it reports
     /// that.
@@ -84,9 +84,9 @@
     socket: Mutex<Option<Arc<UdpSocket>>>,
     peers: Mutex<Arc<Vec<SocketAddr>>>,
     /// Selects the dispatches to announce.
-    teller: Mutex<HintFilter>,
+    filter: Mutex<HintFilter>,
     /// Limits which hints about quarantined requests go to all gateways.
-    bound: Mutex<NoticeLimiter>,
+    notice_limiter: Mutex<NoticeLimiter>,
     /// The number of the last hint that was sent.
     last_sent: Mutex<u64>,
     /// The number of the last hint that was accepted from each peer.
@@ -99,8 +99,8 @@
         Hints {
             socket: Mutex::default(),
             peers: Mutex::default(),
-            teller: Mutex::default(),
-            bound: Mutex::default(),
+            filter: Mutex::default(),
+            notice_limiter: Mutex::default(),
             last_sent: Mutex::new(started),
             last_received: Mutex::default(),
         }
@@ -120,12 +120,12 @@
     /// Whether to announce a dispatch whose engine has to process this many prompt tokens.
     pub(crate) fn should_announce(&self, unread: u32, now: Millis) -> bool {
         let gateways = self.peers.lock().expect("the peers lock is not poisoned").len() as u64 + 1;
-        self.teller.lock().expect("the teller lock is not poisoned").should_send(unread, gateways, now)
+        self.filter.lock().expect("the filter lock is not poisoned").should_send(unread, gateways, now)
     }
 
     /// Announces the dispatch of a prompt to all gateways.
-    pub(crate) fn announce_dispatch(&self, upstream: &str, told: DispatchHint) {
-        self.send(Hint::Dispatch { upstream: upstream.to_owned(), told });
+    pub(crate) fn announce_dispatch(&self, upstream: &str, hint: DispatchHint) {
+        self.send(Hint::Dispatch { upstream: upstream.to_owned(), told: hint });
     }
 
     /// Announces to all gateways which engines of a service are reserved for short requests. Heartbeats tell
@@ -134,12 +134,15 @@
         self.send(Hint::Division { service: service.to_owned(), short: short.to_vec() });
     }
 
-    /// Announces what is known about a request that terminates upstreams, to all gateways or a few of them.
-    pub(crate) fn announce_quarantine(self: &Arc<Hints>, word: Notice, now: Millis) {
+    /// Announces what is known about a request that crashes upstreams, to all gateways or a few of them.
+    pub(crate) fn announce_quarantine(self: &Arc<Hints>, notice: Notice, now: Millis) {
         let gateways = self.peers.lock().expect("the peers lock is not poisoned").len() + 1;
-        let recipients =
-            self.bound.lock().expect("the bound lock is not poisoned").recipients(&word, gateways, now);
-        self.send_repeatedly(Hint::Quarantine(word), recipients);
+        let recipients = self
+            .notice_limiter
+            .lock()
+            .expect("the limiter lock is not poisoned")
+            .recipients(&notice, gateways, now);
+        self.send_repeatedly(Hint::Quarantine(notice), recipients);
     }
 
     /// Announces to all gateways that an upstream is leaving.
@@ -156,8 +159,8 @@
     fn send_repeatedly(self: &Arc<Hints>, hint: Hint, recipients: Recipients) {
         let hints = self.clone();
         net::exec::spawn(async move {
-            for pause in SEND_DELAYS {
-                net::exec::sleep(pause).await;
+            for delay in SEND_DELAYS {
+                net::exec::sleep(delay).await;
                 hints.send_to(hint.clone(), hints.recipients(recipients));
             }
         })
@@ -239,14 +242,14 @@
 
 fn decode(bytes: &[u8]) -> Result<NumberedHint, Rejection> {
     let [VERSION, rest @ ..] = bytes else { return Err(Rejection::Malformed) };
-    let hint: NumberedHint = options().deserialize(rest).map_err(|_| Rejection::Malformed)?;
-    match &hint.hint {
-        Hint::Dispatch { told, .. } if !told.is_plausible() => Err(Rejection::Malformed),
-        Hint::Quarantine(word) if !word.is_valid() => Err(Rejection::Malformed),
+    let numbered: NumberedHint = options().deserialize(rest).map_err(|_| Rejection::Malformed)?;
+    match &numbered.hint {
+        Hint::Dispatch { told: hint, .. } if !hint.is_plausible() => Err(Rejection::Malformed),
+        Hint::Quarantine(notice) if !notice.is_valid() => Err(Rejection::Malformed),
         Hint::Limit { per_s: Some(per_s), .. } if !(per_s.is_finite() && *per_s >= 0.0) => {
             Err(Rejection::Malformed)
         }
-        _ => Ok(hint),
+        _ => Ok(numbered),
     }
 }
 
@@ -265,14 +268,14 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => match node.hints.accept(&buffer[..length], from) {
-                Ok(Hint::Dispatch { upstream, told }) => {
-                    node.places().hear_dispatch(&upstream, &told, node.now())
+                Ok(Hint::Dispatch { upstream, told: hint }) => {
+                    node.placer().record_dispatch_hint(&upstream, &hint, node.now())
                 }
                 Ok(Hint::Division { service, short }) => node.apply_division(&service, &short),
-                Ok(Hint::Quarantine(word)) => crate::quarantine::hear(&node, &word),
-                Ok(Hint::Leaving { upstream, started }) => hear_leaving(&node, &upstream, started),
+                Ok(Hint::Quarantine(notice)) => crate::quarantine::apply_notice(&node, &notice),
+                Ok(Hint::Leaving { upstream, started }) => apply_leaving(&node, &upstream, started),
                 Ok(Hint::Limit { upstream, started, per_s }) => {
-                    crate::limits::hear(&node, &upstream, started, per_s);
+                    crate::limits::apply_hint(&node, &upstream, started, per_s);
                 }
                 Err(rejection) => {
                     log::debug!("hints: event=dropped reason={} from={from}", rejection.name());
@@ -288,9 +291,9 @@
 }
 
 /// Records that an upstream is leaving, unless the hint refers to another start than the listed one.
-fn hear_leaving<W: Wire, S: Rows>(node: &Node<W, S>, upstream: &str, started: Option<u64>) {
+fn apply_leaving<W: Wire, S: Rows>(node: &Node<W, S>, upstream: &str, started: Option<u64>) {
     let is_listed = node.listings().get(upstream).is_some_and(|listing| listing.started == started);
-    if is_listed && node.places().mark_leaving(upstream, node.now()) {
+    if is_listed && node.placer().mark_leaving(upstream, node.now()) {
         log::info!("upstream: event=leaves upstream={upstream} told-by=gateway");
     }
 }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -78,12 +78,12 @@
     /// Chooses an upstream that has not been tried yet.
     pub(crate) fn choose(&self) -> Option<Placement> {
         let progress = self.progress();
-        let need = PlacementRequest {
+        let request = PlacementRequest {
             service: &self.request.service,
             prompt: self.prompt(),
             avoid: &progress.excluded,
         };
-        self.node.places().choose(&need, self.node.now())
+        self.node.placer().choose(&request, self.node.now())
     }
 
     /// The properties of the prompt that the choice of an upstream depends on.
@@ -161,7 +161,7 @@
     node: Arc<Node<W, S>>,
     pub upstream: String,
     pub dispatched: Millis,
-    ticket: DispatchId,
+    dispatch_id: DispatchId,
     is_prompt_read: bool,
 }
 
@@ -171,32 +171,32 @@
     pub(crate) fn take(job: &Job<W, S>, chosen: &Placement) -> Option<UpstreamSlot<W, S>> {
         let node = job.node.clone();
         let now = node.now();
-        let mut places = node.places();
-        if !places.has_room(&chosen.upstream, now) {
+        let mut placer = node.placer();
+        if !placer.has_room(&chosen.upstream, now) {
             return None;
         }
-        let ticket = places.begin(chosen, job.prompt().as_ref(), now);
-        drop(places);
+        let dispatch_id = placer.begin(chosen, job.prompt().as_ref(), now);
+        drop(placer);
         Some(UpstreamSlot {
             node,
             upstream: chosen.upstream.clone(),
             dispatched: now,
-            ticket,
+            dispatch_id,
             is_prompt_read: false,
         })
     }
 
-    /// Records that the upstream has record_first_answer the prompt, as its first answer shows.
+    /// Records that the upstream has read the prompt, as its first answer shows.
     pub(crate) fn mark_prompt_read(&mut self) {
         if !std::mem::replace(&mut self.is_prompt_read, true) {
-            self.node.places().record_first_answer(&self.upstream, self.ticket, self.node.now());
+            self.node.placer().record_first_answer(&self.upstream, self.dispatch_id, self.node.now());
         }
     }
 }
 
 impl<W: Wire, S: Rows> Drop for UpstreamSlot<W, S> {
     fn drop(&mut self) {
-        self.node.places().end(&self.upstream, self.ticket, self.node.now());
+        self.node.placer().end(&self.upstream, self.dispatch_id, self.node.now());
     }
 }
 
@@ -209,14 +209,14 @@
 
 impl<'a, W: Wire, S: Rows> OverdueGuard<'a, W, S> {
     pub(crate) fn new(node: &'a Node<W, S>, upstream: &'a str) -> OverdueGuard<'a, W, S> {
-        node.places().record_overdue(upstream, true);
+        node.placer().record_overdue(upstream, true);
         OverdueGuard { node, upstream }
     }
 }
 
 impl<W: Wire, S: Rows> Drop for OverdueGuard<'_, W, S> {
     fn drop(&mut self) {
-        self.node.places().record_overdue(self.upstream, false);
+        self.node.placer().record_overdue(self.upstream, false);
     }
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! - `handle` admits it and decides what to do when a dispatch fails.
 //! - `relay` forwards a streamed answer.
 //! - `attempt` is a single dispatch.
-//! - `quarantine` inspects a dispatch that broke off, and denies requests that terminate upstreams.
+//! - `quarantine` inspects a dispatch that broke off, and denies requests that crash upstreams.
 //! - `job` holds the request and what it has acquired.
 //! - `team_budget` and `budget_state` reserve its tokens at this gateway, `peer_reservations` at one that
 //!   `owners` selects.
@@ -212,7 +212,7 @@
                 node.metrics.budget_tokens.with_label_values(&[team.as_str(), state]).set(tokens as i64);
             }
         }
-        for (upstream, open_requests) in node.places().open_requests() {
+        for (upstream, open_requests) in node.placer().open_requests() {
             node.metrics.upstream_open_requests.with_label_values(&[upstream]).set(i64::from(open_requests));
         }
     }
@@ -221,14 +221,14 @@
 /// Logs the measured speed of each service's engines, and the share of short streams that are late beside
 /// long reads.
 fn log_models<W: Wire, S: Rows>(node: &Node<W, S>) {
-    let places = node.places();
-    for (service, model, usual) in places.models() {
+    let placer = node.placer();
+    for (service, model, median_pace) in placer.models() {
         let slowness: Vec<String> =
-            places.slowness(service).iter().map(|(name, slowness)| format!("{name}:{slowness:.2}")).collect();
-        let harm =
-            places.late_share(service, node.now()).map_or("-".to_owned(), |share| format!("{share:.2}"));
+            placer.slowness(service).iter().map(|(name, slowness)| format!("{name}:{slowness:.2}")).collect();
+        let late_share =
+            placer.late_share(service, node.now()).map_or("-".to_owned(), |share| format!("{share:.2}"));
         log::info!(
-            "upstream: event=model service={service} {model} event-ms={usual:.1} late-beside-reads={harm} slowness={}",
+            "upstream: event=model service={service} {model} event-ms={median_pace:.1} late-beside-reads={late_share} slowness={}",
             slowness.join(",")
         );
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -24,34 +24,34 @@
 /// to know.
 pub(crate) fn observe<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, answer: &Answer<'_>) {
     let Answer { upstream, request, dispatched, per_s } = *answer;
-    let update = node.places().update_limit(upstream, per_s, dispatched, node.now());
+    let update = node.placer().update_limit(upstream, per_s, dispatched, node.now());
     match update {
         LimitUpdate::Unchanged => {}
-        LimitUpdate::Renewed => tell(node, upstream, &SEND_DELAYS[..1]),
+        LimitUpdate::Renewed => announce(node, upstream, &SEND_DELAYS[..1]),
         LimitUpdate::Named => {
             let per_s = per_s.unwrap_or_default();
             log::info!(
                 "upstream: event=limit-named upstream={upstream} per-s={per_s} told-by=answer request={request}"
             );
             node.metrics.limits_named.inc();
-            tell(node, upstream, &SEND_DELAYS);
+            announce(node, upstream, &SEND_DELAYS);
         }
         LimitUpdate::Lifted => {
             log::info!("upstream: event=limit-lifted upstream={upstream} told-by=answer request={request}");
-            tell(node, upstream, &SEND_DELAYS);
+            announce(node, upstream, &SEND_DELAYS);
         }
     }
 }
 
-/// Tells the other gateways of an upstream's limit after each of `pauses`, since datagrams can be lost. Each
+/// Tells the other gateways of an upstream's limit after each of `delays`, since datagrams can be lost. Each
 /// datagram carries the limit known when it is sent.
-fn tell<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, upstream: &str, pauses: &'static [Duration]) {
+fn announce<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, upstream: &str, delays: &'static [Duration]) {
     let (node, upstream) = (node.clone(), upstream.to_owned());
     exec::spawn(async move {
-        for pause in pauses {
-            exec::sleep(*pause).await;
+        for delay in delays {
+            exec::sleep(*delay).await;
             let started = node.listings().get(&upstream).and_then(|listing| listing.started);
-            let per_s = node.places().limit_per_s(&upstream);
+            let per_s = node.placer().limit_per_s(&upstream);
             node.hints.announce_limit(&upstream, started, per_s);
         }
     })
@@ -60,14 +60,14 @@
 
 /// Records what another gateway reports about an upstream's limit, if the report is about the same start of
 /// the upstream that is listed here.
-pub(crate) fn hear<W: Wire, S: Rows>(
+pub(crate) fn apply_hint<W: Wire, S: Rows>(
     node: &Node<W, S>,
     upstream: &str,
     started: Option<u64>,
     per_s: Option<f64>,
 ) {
-    let is_meant = node.listings().get(upstream).is_some_and(|listing| listing.started == started);
-    if !is_meant || !node.places().hear_limit(upstream, per_s, node.now()) {
+    let is_same_start = node.listings().get(upstream).is_some_and(|listing| listing.started == started);
+    if !is_same_start || !node.placer().record_limit_hint(upstream, per_s, node.now()) {
         return;
     }
     match per_s {
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -20,7 +20,7 @@
 pub(crate) struct Load {
     received: AtomicU64,
     sent: AtomicU64,
-    strain: Mutex<OverloadMonitor>,
+    monitor: Mutex<OverloadMonitor>,
 }
 
 impl Load {
@@ -29,12 +29,12 @@
         Load {
             received: AtomicU64::new(0),
             sent: AtomicU64::new(0),
-            strain: Mutex::new(OverloadMonitor::new(link_bytes_per_s)),
+            monitor: Mutex::new(OverloadMonitor::new(link_bytes_per_s)),
         }
     }
 
-    fn strain(&self) -> MutexGuard<'_, OverloadMonitor> {
-        self.strain.lock().expect("the lock is not poisoned")
+    fn monitor(&self) -> MutexGuard<'_, OverloadMonitor> {
+        self.monitor.lock().expect("the lock is not poisoned")
     }
 
     /// Records that a message with a body of this size arrived.
@@ -55,13 +55,13 @@
 
     /// Whether this gateway is overloaded and accepts no new callers.
     pub(crate) fn is_shedding(&self) -> bool {
-        self.strain().is_unready()
+        self.monitor().is_unready()
     }
 
     /// Whether to close the connection after an answer, so that the balancer sends its caller to another
     /// gateway.
     pub(crate) fn should_close_connection(&self) -> bool {
-        self.strain().should_close_connection(rand::random())
+        self.monitor().should_close_connection(rand::random())
     }
 
     fn take_bytes(&self) -> u64 {
@@ -74,18 +74,17 @@
     loop {
         let due = node.now_exact() + SAMPLE_INTERVAL.as_secs_f64() * 1_000.0;
         exec::sleep(SAMPLE_INTERVAL).await;
-        let late_ms = (node.now_exact() - due).max(0.0);
-        let sample =
-            LoadSample { at: node.now(), timer_delay_ms: late_ms, link_bytes: node.load.take_bytes() };
-        let (shift, (late_ms, link)) = {
-            let mut strain = node.load.strain();
-            (strain.record(sample), strain.averages())
+        let timer_delay_ms = (node.now_exact() - due).max(0.0);
+        let sample = LoadSample { at: node.now(), timer_delay_ms, link_bytes: node.load.take_bytes() };
+        let (change, (timer_delay_ms, link)) = {
+            let mut monitor = node.load.monitor();
+            (monitor.record(sample), monitor.averages())
         };
-        let event = match shift {
+        let event = match change {
             ReadinessChange::Unchanged => continue,
             ReadinessChange::BecameUnready => "steps-back",
             ReadinessChange::BecameReady => "returns",
         };
-        log::warn!("gateway: event={event} late-ms={late_ms:.1} link={link:.2}");
+        log::warn!("gateway: event={event} late-ms={timer_delay_ms:.1} link={link:.2}");
     }
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -143,8 +143,8 @@
     };
     match node.rows.commit(&change).await {
         Ok(_) => {
-            let lasts_ms = heartbeat_interval_ms(node) * MAX_MISSED_HEARTBEATS / 2;
-            node.places().roster.confirm_heartbeat(sent, node.now(), lasts_ms, members.interval_ms);
+            let validity_ms = heartbeat_interval_ms(node) * MAX_MISSED_HEARTBEATS / 2;
+            node.placer().roster.confirm_heartbeat(sent, node.now(), validity_ms, members.interval_ms);
         }
         Err(error) => log::warn!("fleet: event=heartbeat-failed {error}"),
     }
@@ -158,20 +158,20 @@
     let row = page.records.iter().find(|record| record.name == *own);
     let up_ms = row.map(|row| decode::<Heartbeat>(row).map_or(0, |heartbeat| heartbeat.up_ms));
     let listed = page.records.iter().map(|record| record.name.as_str());
-    node.places().roster.update_list(own, listed, up_ms, requested, interval_ms);
+    node.placer().roster.update_list(own, listed, up_ms, requested, interval_ms);
 }
 
 /// Updates the division of the engines between long and short requests. Returns those that are reserved for
 /// short ones.
 fn divide_engines<W: Wire, S: Rows>(node: &Node<W, S>) -> BTreeMap<String, Vec<String>> {
-    let mut places = node.places();
-    let divisions = places.adapt_divisions(node.now()).filter(|(_, short)| !short.is_empty());
+    let mut placer = node.placer();
+    let divisions = placer.adapt_divisions(node.now()).filter(|(_, short)| !short.is_empty());
     divisions.map(|(service, short)| (service.to_owned(), short.to_vec())).collect()
 }
 
 /// Deletes this gateway's heartbeat row, so that the others don't wait for its heartbeats.
 pub(crate) async fn deregister<W: Wire, S: Rows>(node: &Node<W, S>) {
-    node.places().roster.leave();
+    node.placer().roster.leave();
     let change = Change { drops: vec![Key::new(TABLE, &node.settings.name)], ..Change::default() };
     if let Err(error) = node.rows.commit(&change).await {
         log::warn!("fleet: event=good-bye-failed {error}");
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -6,8 +6,8 @@
     Registry, TextEncoder,
 };
 
-/// The upper bounds of the latency histograms, in seconds, chosen around the target latencies of interactive
-/// requests.
+/// The upper bounds of the latency histograms, in seconds. Most of them are around the target latencies of
+/// interactive requests.
 const SECONDS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 15.0];
 
 /// The metrics of a gateway.
@@ -50,7 +50,7 @@
     pub limits_named: IntCounter,
     /// Runs that broke because their upstream terminated.
     pub runs_lost: IntCounter,
-    /// The number of requests that are denied because they terminate upstreams.
+    /// The number of requests that are denied because they crash upstreams.
     pub quarantined: IntGauge,
     /// Datagrams of other gateways that were dropped, by reason.
     pub hints_dropped: IntCounterVec,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -81,7 +81,7 @@
     manifest: RwLock<Option<Arc<Manifest>>>,
     /// The progress of the pending read of the manifest.
     manifest_progress: Mutex<Progress>,
-    places: Mutex<Placer>,
+    placer: Mutex<Placer>,
     quarantine: Mutex<Quarantine>,
     listings: Mutex<HashMap<String, Listing>>,
     windows: Mutex<HashMap<String, RepeatWindow>>,
@@ -110,7 +110,7 @@
             owners: Owners::new(&settings.name, settings.cores()),
             peer_reservations: Arc::new(PeerReservations::new(&holder)),
             holder,
-            places: Mutex::new(Placer::new(&settings.data_centre)),
+            placer: Mutex::new(Placer::new(&settings.data_centre)),
             wire,
             rows: MeteredRows::new(failover.clone(), &metrics),
             failover,
@@ -194,7 +194,7 @@
         self.metrics.manifest_version.set(next.version as i64);
         let warmups =
             next.services.iter().filter_map(|(name, service)| Some((name.clone(), service.warmup?)));
-        self.places().set_warmups(warmups.collect());
+        self.placer().set_warmups(warmups.collect());
         let teams = next.teams.values();
         self.owners.set_levels(teams.filter_map(|team| Some((team.name.as_str(), team.reserved?))));
         for (team, budget) in self.budgets().iter() {
@@ -205,17 +205,17 @@
         true
     }
 
-    pub(crate) fn places(&self) -> MutexGuard<'_, Placer> {
-        self.places.lock().expect("the places lock is not poisoned")
+    pub(crate) fn placer(&self) -> MutexGuard<'_, Placer> {
+        self.placer.lock().expect("the placer lock is not poisoned")
     }
 
     pub(crate) fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine.lock().expect("the quarantine's lock is not poisoned")
     }
 
-    /// Adopts another gateway's decision which engines of a service are reserved for short requests.
+    /// Adopts another gateway's decision on which engines of a service are reserved for short requests.
     pub(crate) fn apply_division(&self, service: &str, short: &[String]) {
-        if self.places().follow_division(service, short) {
+        if self.placer().follow_division(service, short) {
             log::info!("upstream: event=divided service={service} kept-for-short={}", short.join(","));
         }
     }
@@ -270,12 +270,12 @@
         let bounds = &self.settings.bounds;
         let mut windows = self.windows.lock().expect("the windows lock is not poisoned");
         if !windows.contains_key(service) {
-            let terms = RepeatBound {
+            let bound = RepeatBound {
                 ratio: bounds.retry_ratio,
                 extra: bounds.retry_extra,
                 length: (bounds.retry_window_s * 1_000.0) as Millis,
             };
-            windows.insert(service.to_owned(), RepeatWindow::new(terms, 0));
+            windows.insert(service.to_owned(), RepeatWindow::new(bound, 0));
         }
         let window = windows.get_mut(service).expect("the window was just added");
         window.set_routers(crate::members::known_fleet_size(self));
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Quarantine of requests that terminate the upstreams which run them. They are found by broken runs,
-//! reported to the other gateways, and kept in the store.
+//! Quarantine of requests that crash the upstreams which run them. They are found by broken runs, reported to
+//! the other gateways, and kept in the store.
 //!
-//! [`route::notice`] decides which gateways are told of what. Denials are sent to all gateways and written to a
-//! table. Each gateway reads the table when it starts, when another one's heartbeat names a newer version,
+//! [`route::notice`] decides which gateways are told of what. Denials are sent to all gateways and written to
+//! a table. Each gateway reads the table when it starts, when another one's heartbeat names a newer version,
 //! and periodically while any request is denied.
 
 use crate::denials::{self, Denial};
@@ -64,8 +64,8 @@
 }
 
 impl<W: Wire, S: Rows> Job<W, S> {
-    /// Checks in the background whether a run of this request broke because its upstream terminated. A
-    /// request that is already suspect must wait for the result, since it may terminate the next upstream as
+    /// Checks in the background whether a run of this request broke because its upstream crashed. A
+    /// request that is already suspect must wait for the result, since it may crash the next upstream as
     /// well.
     pub(crate) fn inspect(&self, upstream: &str, begun_ms: Option<Millis>) -> Inspection {
         let fingerprint = self.request.fingerprint();
@@ -90,15 +90,15 @@
             return;
         }
         let fingerprint = self.request.fingerprint();
-        let word = self.node.quarantine().record_survival(fingerprint);
-        if let Some(word) = word {
+        let notice = self.node.quarantine().record_survival(fingerprint);
+        if let Some(notice) = notice {
             log::info!("quarantine: event=cleared fingerprint={fingerprint} request={}", self.request.ask.id);
-            self.node.hints.announce_quarantine(word, self.node.now());
+            self.node.hints.announce_quarantine(notice, self.node.now());
         }
     }
 
-    /// Whether this request may run again: its runs, or those of other attempts with the same fingerprint, may
-    /// have terminated too many upstreams.
+    /// Whether this request may run again: its runs, or those of other attempts with the same fingerprint,
+    /// may have crashed too many upstreams.
     pub(crate) fn may_repeat(&self) -> bool {
         matches!(check(&self.node, || self.request.fingerprint()), Check::Passed)
     }
@@ -161,7 +161,7 @@
     exec::sleep(PROBE_DELAY).await;
     let reach = net::probe(address, PROBE_TIMEOUT).await;
     let LostRun { upstream, request, fingerprint, begun_ms } = &lost;
-    let is_leaving = node.places().is_leaving(upstream);
+    let is_leaving = node.placer().is_leaving(upstream);
     log::warn!(
         "upstream: event=run-lost upstream={upstream} address={} request={request} fingerprint={fingerprint} begun-ms={begun_ms:?} leaving={is_leaving}",
         reach.name()
@@ -170,23 +170,23 @@
         return;
     }
     node.metrics.runs_lost.inc();
-    // A leaving upstream terminates on its own.
+    // A leaving upstream terminates of its own accord.
     let Some(stage) = Stage::of(*begun_ms).filter(|_| !is_leaving) else { return };
-    let reaction = node.quarantine().observe_crash(*fingerprint, upstream, stage, node.now());
-    react(&node, reaction);
+    let follow_up = node.quarantine().observe_crash(*fingerprint, upstream, stage, node.now());
+    handle_follow_up(&node, follow_up);
 }
 
 /// Tells the other gateways what they need to know, and schedules the decision on a suspect if it is due.
-fn react<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, reaction: FollowUp) {
-    if let Some(word) = reaction.notice {
-        if let Notice::Suspect { fingerprint, ends } = &word {
-            let names: Vec<&str> = ends.iter().map(|end| end.upstream.as_str()).collect();
+fn handle_follow_up<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, follow_up: FollowUp) {
+    if let Some(notice) = follow_up.notice {
+        if let Notice::Suspect { fingerprint, ends } = &notice {
+            let names: Vec<&str> = ends.iter().map(|crash| crash.upstream.as_str()).collect();
             let (ended, names) = (ends.len(), names.join(","));
             log::warn!("quarantine: event=suspect fingerprint={fingerprint} ended={ended} upstreams={names}");
         }
-        node.hints.announce_quarantine(word, node.now());
+        node.hints.announce_quarantine(notice, node.now());
     }
-    if reaction.is_decision_due {
+    if follow_up.is_decision_due {
         exec::spawn(decide(node.clone())).detach();
     }
 }
@@ -200,15 +200,15 @@
         let decision = |fingerprint| Decision {
             fingerprint,
             upstreams: quarantine.denied_upstreams(fingerprint).unwrap_or_default(),
-            is_own: quarantine.is_firsthand(fingerprint),
+            is_firsthand: quarantine.is_firsthand(fingerprint),
         };
         requests.into_iter().map(decision).collect()
     };
-    for Decision { fingerprint, upstreams, is_own } in denied {
+    for Decision { fingerprint, upstreams, is_firsthand } in denied {
         let names = upstreams.join(",");
         log::warn!("quarantine: event=denied fingerprint={fingerprint} upstreams={names} told-by=self");
         update_gauge(&node);
-        if is_own {
+        if is_firsthand {
             exec::spawn(announce(node.clone(), fingerprint, upstreams)).detach();
         }
     }
@@ -218,8 +218,8 @@
 struct Decision {
     fingerprint: Fingerprint,
     upstreams: Upstreams,
-    /// Whether this gateway observed one of the terminations itself, and therefore tells the others.
-    is_own: bool,
+    /// Whether this gateway observed one of the crashes itself, and therefore tells the others.
+    is_firsthand: bool,
 }
 
 /// Tells all gateways that a denied request was sent again, unless an operator has lifted the denial.
@@ -234,8 +234,8 @@
 
 /// Tells all gateways that a request is denied, and writes the denial to the store.
 async fn announce<W: Wire, S: Rows>(node: Arc<Node<W, S>>, fingerprint: Fingerprint, upstreams: Upstreams) {
-    let word = Notice::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIAL_DURATION_MS };
-    node.hints.announce_quarantine(word, node.now());
+    let notice = Notice::Denied { fingerprint, upstreams: upstreams.clone(), lasts_ms: DENIAL_DURATION_MS };
+    node.hints.announce_quarantine(notice, node.now());
     while node.quarantine().denied_upstreams(fingerprint).is_some() {
         match denials::insert(&node.rows, fingerprint, &upstreams).await {
             Ok(()) => {
@@ -248,13 +248,13 @@
     }
 }
 
-/// Handles a message of another gateway.
-pub(crate) fn hear<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, word: &Notice) {
-    if let Notice::Denied { fingerprint, upstreams, lasts_ms } = word {
+/// Applies a notice from another gateway.
+pub(crate) fn apply_notice<W: Wire, S: Rows>(node: &Arc<Node<W, S>>, notice: &Notice) {
+    if let Notice::Denied { fingerprint, upstreams, lasts_ms } = notice {
         return deny(node, *fingerprint, upstreams, *lasts_ms, "gateway");
     }
-    let reaction = node.quarantine().apply(word, node.now());
-    react(node, reaction);
+    let follow_up = node.quarantine().apply(notice, node.now());
+    handle_follow_up(node, follow_up);
 }
 
 fn deny<W: Wire, S: Rows>(
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -21,7 +21,7 @@
     BodyIncomplete,
     /// It is not decided yet whether the request is quarantined.
     QuarantinePending,
-    /// Upstreams terminated while they ran the request, so it is not run again.
+    /// Upstreams crashed while they ran the request, so it is not run again.
     Quarantined,
     /// The budget does not cover the most tokens that the request may use.
     BudgetExhausted,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -155,8 +155,8 @@
         let State::Streaming(stream) = &self.state else { return };
         let upstream = &stream.slot.upstream;
         match self.pauses.record(self.job.node.now_exact()) {
-            PauseKind::Baseline(ms) => self.job.node.places().record_baseline_pause(upstream, ms),
-            PauseKind::Long(ms) => self.job.node.places().record_pause(upstream, ms, self.job.node.now()),
+            PauseKind::Baseline(ms) => self.job.node.placer().record_baseline_pause(upstream, ms),
+            PauseKind::Long(ms) => self.job.node.placer().record_pause(upstream, ms, self.job.node.now()),
             PauseKind::Normal => {}
         }
     }
@@ -164,7 +164,7 @@
     fn complete(&mut self) -> Step {
         let partial = self.splitter.take_partial();
         if let State::Streaming(stream) = std::mem::replace(&mut self.state, State::Ended) {
-            self.job.node.places().record_success(&stream.slot.upstream, None);
+            self.job.node.placer().record_success(&stream.slot.upstream, None);
             self.job.record_survival();
             stream.lease.keep();
         }
@@ -200,7 +200,7 @@
         // The broken run must end before another one begins.
         drop(stream);
         let now = self.job.node.now();
-        self.job.node.places().record_failure(&upstream, now);
+        self.job.node.placer().record_failure(&upstream, now);
         if self.job.kind() != RouteKind::ResumableStream {
             return Step::Fail(reason.to_owned());
         }
--- a/crates/gateway/src/settle.rs
+++ b/crates/gateway/src/settle.rs
@@ -17,8 +17,8 @@
 
 /// The interval between settlements while nothing is urgent.
 pub(crate) const SETTLE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The longest delay after a failed settlement, in milliseconds. It doubles with each further failure in a
-/// row.
+/// The longest delay after the first failed settlement, in milliseconds. It doubles with each further failure
+/// in a row.
 const RETRY_DELAY_MS: u64 = 250;
 /// The bound on this delay in a small fleet, in milliseconds: gateways should notice soon that the store is
 /// available again.
@@ -207,9 +207,9 @@
 }
 
 impl TeamBudget {
-    /// The name of this process's account row; `life` is the generation of the account.
-    pub(crate) fn account_name(&self, life: u64) -> String {
-        format!("{ACCOUNT}{}.{life}", self.holder)
+    /// The name of this process's account row in a generation of the account.
+    pub(crate) fn account_name(&self, generation: u64) -> String {
+        format!("{ACCOUNT}{}.{generation}", self.holder)
     }
 
     /// Updates the rows of this budget from the store's records, as far as these are not older.
--- a/crates/gateway/src/store_health.rs
+++ b/crates/gateway/src/store_health.rs
@@ -99,8 +99,8 @@
         self.peers.retain(|(peer, _)| alive.contains(peer));
         let known: HashSet<SocketAddr> = self.peers.iter().map(|(peer, _)| *peer).collect();
         for peer in peers.iter().filter(|peer| !known.contains(*peer)) {
-            let place = rand::thread_rng().gen_range(0..=self.peers.len());
-            self.peers.insert(place, (*peer, Instant::now()));
+            let index = rand::thread_rng().gen_range(0..=self.peers.len());
+            self.peers.insert(index, (*peer, Instant::now()));
         }
     }
 
@@ -110,8 +110,8 @@
         if self.paused_until.is_some_and(|until| until > now) {
             return vec![];
         }
-        let rested = self.peers.iter().filter(|(_, until)| *until <= now);
-        rested.map(|(peer, _)| *peer).take(MAX_HELPERS).collect()
+        let available = self.peers.iter().filter(|(_, until)| *until <= now);
+        available.map(|(peer, _)| *peer).take(MAX_HELPERS).collect()
     }
 
     /// Records that a gateway helped.
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -262,7 +262,7 @@
         if page.version < newest {
             return;
         }
-        let evacuated: Vec<String> = node.places().evacuated().map(str::to_owned).collect();
+        let evacuated: Vec<String> = node.placer().evacuated().map(str::to_owned).collect();
         let is_listed = |data_centre: &String| {
             page.records
                 .iter()
@@ -289,17 +289,17 @@
 }
 
 fn evacuate<W: Wire, S: Rows>(node: &Node<W, S>, data_centre: &str, version: u64) {
-    let mut places = node.places();
-    if places.evacuate(data_centre) {
-        node.metrics.data_centres_evacuated.set(places.evacuated().count() as i64);
+    let mut placer = node.placer();
+    if placer.evacuate(data_centre) {
+        node.metrics.data_centres_evacuated.set(placer.evacuated().count() as i64);
         log::info!("upstream: event=evacuated data-centre={data_centre} row-version={version}");
     }
 }
 
 fn restore<W: Wire, S: Rows>(node: &Node<W, S>, data_centre: &str, version: u64) {
-    let mut places = node.places();
-    if places.restore(data_centre, node.now()) {
-        node.metrics.data_centres_evacuated.set(places.evacuated().count() as i64);
+    let mut placer = node.placer();
+    if placer.restore(data_centre, node.now()) {
+        node.metrics.data_centres_evacuated.set(placer.evacuated().count() as i64);
         log::info!("upstream: event=taken-back data-centre={data_centre} row-version={version}");
     }
 }
@@ -430,7 +430,7 @@
         }
         if started > std::mem::replace(newest, started) && node.listings().remove(name).is_some() {
             // What was measured before the restart no longer holds.
-            node.places().forget(name);
+            node.placer().forget(name);
             log::info!("upstream: event=started-again upstream={name} started={started}");
         }
     }
@@ -458,15 +458,15 @@
             listing.leaving
         );
     }
-    let site = UpstreamInfo {
+    let info = UpstreamInfo {
         service: listing.service.clone(),
         data_centre: listing.data_centre.clone(),
         slots: listing.slots,
     };
-    let mut places = node.places();
-    places.set(name, site, listing.leaving);
-    places.warm_up(name, warmup_ms, node.now());
-    drop(places);
+    let mut placer = node.placer();
+    placer.set(name, info, listing.leaving);
+    placer.warm_up(name, warmup_ms, node.now());
+    drop(placer);
     listings.insert(name.to_owned(), listing);
 }
 
@@ -517,7 +517,7 @@
 
 fn remove<W: Wire, S: Rows>(node: &Node<W, S>, list: &UpstreamRows, name: &str) {
     if node.listings().remove(name).is_some() {
-        node.places().remove(name);
+        node.placer().remove(name);
         let version = list.versions.get(name).copied().unwrap_or(0);
         log::info!("upstream: event=gone upstream={name} row-version={version}");
     }
--- a/crates/gateway/tests/unit/hints.rs
+++ b/crates/gateway/tests/unit/hints.rs
@@ -10,7 +10,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn told() -> DispatchHint {
+fn dispatch_hint() -> DispatchHint {
     DispatchHint {
         unread: 12_000,
         lasts_ms: 1_900.0,
@@ -21,7 +21,10 @@
 }
 
 fn datagram(number: u64) -> Vec<u8> {
-    encode(&NumberedHint { number, hint: Hint::Dispatch { upstream: "i-7f3a91c2".to_owned(), told: told() } })
+    encode(&NumberedHint {
+        number,
+        hint: Hint::Dispatch { upstream: "i-7f3a91c2".to_owned(), told: dispatch_hint() },
+    })
 }
 
 fn hints() -> Hints {
@@ -79,21 +82,21 @@
 
 #[test]
 fn a_denial_is_decoded_unchanged_and_accepted_only_with_enough_upstreams() {
-    let decoded = |word: Notice| {
-        let bytes = encode(&NumberedHint { number: 5, hint: Hint::Quarantine(word) });
+    let decoded = |notice: Notice| {
+        let bytes = encode(&NumberedHint { number: 5, hint: Hint::Quarantine(notice) });
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
         match hints().accept(&bytes, address(1)) {
-            Ok(Hint::Quarantine(word)) => Ok(word),
+            Ok(Hint::Quarantine(notice)) => Ok(notice),
             Ok(other) => panic!("{other:?}"),
             Err(rejection) => Err(rejection),
         }
     };
-    let sound = denied(&["i-1", "i-2", "i-3"]);
-    assert_eq!(decoded(sound.clone()), Ok(sound));
+    let valid = denied(&["i-1", "i-2", "i-3"]);
+    assert_eq!(decoded(valid.clone()), Ok(valid));
     assert_eq!(
         decoded(denied(&["i-1", "i-2"])).err(),
         Some(Rejection::Malformed),
-        "too few terminated upstreams"
+        "too few crashed upstreams"
     );
     let long = "i".repeat(120);
     assert_eq!(decoded(denied(&["i-1", "i-2", &format!("{long}i")])).err(), Some(Rejection::Malformed));
--- a/crates/gateway/tests/unit/support.rs
+++ b/crates/gateway/tests/unit/support.rs
@@ -96,8 +96,8 @@
         record_ms: 200,
         bounds: Bounds::default(),
     };
-    let (note, _) = async_channel::bounded(1);
-    Arc::new(Node::new(settings, incarnation, PlainTextWire, rows.clone(), note))
+    let (note_requests, _) = async_channel::bounded(1);
+    Arc::new(Node::new(settings, incarnation, PlainTextWire, rows.clone(), note_requests))
 }
 
 /// A manifest with these teams and their prepaid tokens.
--- a/crates/gateway/tests/unit/watch.rs
+++ b/crates/gateway/tests/unit/watch.rs
@@ -148,15 +148,15 @@
         };
         state("the upstream is leaving", 100, true).await;
         for _ in 0..3 {
-            node.places().record_failure("engine-1", node.now());
+            node.placer().record_failure("engine-1", node.now());
         }
-        let standing = || node.places().health_status("engine-1", node.now());
-        assert_eq!(standing(), Some(route::HealthStatus::Ejected));
+        let status = || node.placer().health_status("engine-1", node.now());
+        assert_eq!(status(), Some(route::HealthStatus::Ejected));
 
         put(&rows, &format!("engines {address} started=200"));
         state("the upstream restarted", 200, false).await;
         assert_eq!(
-            standing(),
+            status(),
             Some(route::HealthStatus::Healthy),
             "the failures before the restart still count"
         );
@@ -169,12 +169,12 @@
 
 async fn evacuated(node: &Node<PlainTextWire, TableRows>, what: &str, expected: &[&str]) {
     for _ in 0..300 {
-        if node.places().evacuated().eq(expected.iter().copied()) {
+        if node.placer().evacuated().eq(expected.iter().copied()) {
             return;
         }
         exec::sleep(Duration::from_millis(10)).await;
     }
-    panic!("{what}: evacuated are {:?}", node.places().evacuated().collect::<Vec<_>>());
+    panic!("{what}: evacuated are {:?}", node.placer().evacuated().collect::<Vec<_>>());
 }
 
 fn operator(rows: &TableRows, name: &str, value: &str) {
@@ -228,9 +228,9 @@
     evacuations.apply(&node, &record(7, Some("{}")));
     evacuations.apply(&node, &record(5, None));
     evacuations.apply_all(&node, &Page { version: 6, ..Page::default() });
-    assert!(node.places().evacuated().eq(["here"]), "a stale read restored a data centre");
+    assert!(node.placer().evacuated().eq(["here"]), "a stale read restored a data centre");
     evacuations.apply_all(&node, &Page { version: 8, ..Page::default() });
-    assert_eq!(node.places().evacuated().count(), 0);
+    assert_eq!(node.placer().evacuated().count(), 0);
 }
 
 #[test]
@@ -240,7 +240,7 @@
         list(&rows, 2);
         let node = followed(&rows);
         until(&node, "all are listed", 2).await;
-        node.places().set_warmups(std::collections::HashMap::from([(
+        node.placer().set_warmups(std::collections::HashMap::from([(
             "narrator".to_owned(),
             route::warmup::Warmup { per_s: 5.0, duration_ms: 100 },
         )]));
@@ -248,12 +248,12 @@
         put(&rows, &format!("narrator {address} warmup=700"));
         exec::sleep(Duration::from_millis(300)).await;
         assert!(
-            !node.places().has_room("engine-1", node.now()),
+            !node.placer().has_room("engine-1", node.now()),
             "a gateway that is on no list yet has no part of the requests"
         );
-        assert!(node.places().has_room("engine-0", node.now()));
+        assert!(node.placer().has_room("engine-0", node.now()));
         exec::sleep(Duration::from_millis(700)).await;
-        assert!(node.places().has_room("engine-1", node.now()));
+        assert!(node.placer().has_room("engine-1", node.now()));
     });
 }
 
--- a/crates/route/examples/told.rs
+++ b/crates/route/examples/told.rs
@@ -1,9 +1,9 @@
-//! Measures the cost of telling routers of fewer dispatches.
+//! Measures the cost of reporting fewer dispatches to routers.
 //!
 //! Usage: `cargo run --release -p route --example told -- ROUTERS PER_S...`
 //!
-//! Simulates 845 prompts per second on 160 engines, with three seeds for each rate at which a router is told
-//! of dispatches.
+//! Simulates 845 prompts per second on 160 engines, with three seeds for each rate of reported dispatches
+//! that a router receives.
 
 use emulator::{Outcome, Scene, plains, play};
 use route::HintFilter;
@@ -16,8 +16,8 @@
         return eprintln!("usage: told ROUTERS PER_S...");
     };
     for rate in rates {
-        let teller = HintFilter::with_rates(*rate, *rate);
-        let scene = |seed| Scene { teller, ..plains(seed, *routers as usize) };
+        let filter = HintFilter::with_rates(*rate, *rate);
+        let scene = |seed| Scene { teller: filter, ..plains(seed, *routers as usize) };
         let outcomes: Vec<Outcome> = SEEDS.map(|seed| play(&scene(seed))).collect();
         let mean = |figure: &dyn Fn(&Outcome) -> f64| {
             outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
--- a/crates/route/src/engine.rs
+++ b/crates/route/src/engine.rs
@@ -19,6 +19,7 @@
 const STEP: f64 = 0.03;
 /// The number of answers after which a size class changes by the smaller step.
 const INITIAL_ANSWERS: u32 = 8;
+
 /// The time to the first answer for prompts of one size class.
 #[derive(Clone, Copy, Debug)]
 struct SizeClass {
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -64,7 +64,7 @@
 pub(crate) struct Limit {
     per_s: f64,
     /// The rate last exchanged with the other gateways, and when.
-    told: (f64, Millis),
+    exchanged: (f64, Millis),
     /// When an answer or another gateway last confirmed the limit.
     confirmed: Millis,
     /// The times of this gateway's dispatches within the last span.
@@ -75,7 +75,7 @@
     /// Creates a limit that the other gateways know or are about to be told. `sent` holds the times of this
     /// gateway's dispatches shortly before.
     pub(crate) fn new(per_s: f64, sent: &[Millis], now: Millis) -> Limit {
-        Limit { per_s, told: (per_s, now), confirmed: now, sent: SmallVec::from_slice(sent) }
+        Limit { per_s, exchanged: (per_s, now), confirmed: now, sent: SmallVec::from_slice(sent) }
     }
 
     /// The requests per second that the upstream accepts from all gateways together.
@@ -93,13 +93,13 @@
     pub(crate) fn confirm(&mut self, per_s: f64, now: Millis) -> LimitUpdate {
         self.per_s = per_s;
         self.confirmed = now;
-        let (told_per_s, told_at) = self.told;
-        let has_changed = per_s > told_per_s * CHANGE_FACTOR || per_s * CHANGE_FACTOR < told_per_s;
+        let (exchanged_per_s, exchanged_at) = self.exchanged;
+        let has_changed = per_s > exchanged_per_s * CHANGE_FACTOR || per_s * CHANGE_FACTOR < exchanged_per_s;
         if has_changed {
-            self.told = (per_s, now);
+            self.exchanged = (per_s, now);
             LimitUpdate::Named
-        } else if now.saturating_sub(told_at) >= RENEWAL_MS {
-            self.told = (per_s, now);
+        } else if now.saturating_sub(exchanged_at) >= RENEWAL_MS {
+            self.exchanged = (per_s, now);
             LimitUpdate::Renewed
         } else {
             LimitUpdate::Unchanged
@@ -107,9 +107,9 @@
     }
 
     /// Records that another gateway reported the limit.
-    pub(crate) fn hear(&mut self, per_s: f64, now: Millis) {
+    pub(crate) fn record_hint(&mut self, per_s: f64, now: Millis) {
         self.per_s = per_s;
-        self.told = (per_s, now);
+        self.exchanged = (per_s, now);
         self.confirmed = now;
     }
 
--- a/crates/route/src/placement.rs
+++ b/crates/route/src/placement.rs
@@ -220,7 +220,7 @@
                     health: Health::default(),
                     parts: HashMap::new(),
                     part_order: VecDeque::new(),
-                    warming: WarmupTracker::default(),
+                    warmup: WarmupTracker::default(),
                 };
                 self.upstreams.insert(name.to_owned(), upstream);
             }
@@ -276,7 +276,7 @@
         for upstream in self.upstreams.values_mut() {
             let warmup = warmups.get(&upstream.info.service);
             if let Some(warmup) = warmup.filter(|_| upstream.info.data_centre == data_centre) {
-                upstream.warming.start(warmup.duration_ms, now);
+                upstream.warmup.start(warmup.duration_ms, now);
             }
         }
         true
@@ -296,7 +296,7 @@
     /// Records that an upstream warms up for `ms` milliseconds from now on.
     pub fn warm_up(&mut self, name: &str, ms: Millis, now: Millis) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.warming.start(ms, now);
+            upstream.warmup.start(ms, now);
         }
     }
 
@@ -309,15 +309,15 @@
         dispatched: Millis,
         now: Millis,
     ) -> LimitUpdate {
-        let sent = self.upstreams.get(name).map(|upstream| upstream.warming.sent(now)).unwrap_or_default();
+        let sent = self.upstreams.get(name).map(|upstream| upstream.warmup.sent(now)).unwrap_or_default();
         self.signals.update_limit(name, per_s, dispatched, &sent, now)
     }
 
     /// Records what another gateway reports about an upstream's request limit. Returns whether the limit
     /// begins or ends.
-    pub fn hear_limit(&mut self, name: &str, per_s: Option<f64>, now: Millis) -> bool {
-        let sent = self.upstreams.get(name).map(|upstream| upstream.warming.sent(now)).unwrap_or_default();
-        self.signals.hear_limit(name, per_s, &sent, now)
+    pub fn record_limit_hint(&mut self, name: &str, per_s: Option<f64>, now: Millis) -> bool {
+        let sent = self.upstreams.get(name).map(|upstream| upstream.warmup.sent(now)).unwrap_or_default();
+        self.signals.record_limit_hint(name, per_s, &sent, now)
     }
 
     /// The request limit of an upstream, in requests per second from all gateways together, if it named one.
@@ -339,17 +339,17 @@
         if self.signals.limit_wait_ms(name, &self.roster, now) > 0 {
             return false;
         }
-        match upstream.warming.state(now) {
+        match upstream.warmup.state(now) {
             WarmupState::Warm => return true,
             WarmupState::Uncertain if limited_from == WarmupState::WarmingUp => return true,
             WarmupState::Uncertain | WarmupState::WarmingUp => {}
         }
         let warmup = self.warmups.get(&upstream.info.service).copied();
-        upstream.warming.admits(name, warmup, &self.roster, now)
+        upstream.warmup.admits(name, warmup, &self.roster, now)
     }
 
     /// Whether an upstream is leaving, according to the list or its own signal, or is no longer listed. Such
-    /// an upstream ends of its own accord.
+    /// an upstream terminates of its own accord.
     pub fn is_leaving(&self, name: &str) -> bool {
         self.upstreams.get(name).is_none_or(|upstream| upstream.leaving) || self.signals.is_leaving(name)
     }
@@ -435,7 +435,7 @@
         let id = self.last_id;
         if let Some(upstream) = self.upstreams.get_mut(&chosen.upstream) {
             upstream.open += 1;
-            upstream.warming.send(now);
+            upstream.warmup.send(now);
             self.signals.send(&chosen.upstream, now);
             let parts = prompt.map(|prompt| prompt.parts).unwrap_or_default();
             parts.iter().for_each(|part| upstream.remember_part(part.id, now));
@@ -465,14 +465,14 @@
     }
 
     /// Records a dispatch that another router reports.
-    pub fn hear_dispatch(&mut self, name: &str, hint: &DispatchHint, now: Millis) {
+    pub fn record_dispatch_hint(&mut self, name: &str, hint: &DispatchHint, now: Millis) {
         self.enqueue_read(name, None, hint.unread, now);
         if let Some(service) = self.service_mut(name) {
             service.load.add(true, hint.since.long, now);
             service.load.add(false, hint.since.short, now);
-            service.harm.add_streams(hint.since.streams, now);
+            service.interference.add_streams(hint.since.streams, now);
             let gap_ms = service.load.gap_ms;
-            hint.pauses_ms.iter().for_each(|ms| service.harm.add_pause(f64::from(*ms), gap_ms, now));
+            hint.pauses_ms.iter().for_each(|ms| service.interference.add_pause(f64::from(*ms), gap_ms, now));
         }
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         if let Some(ms) = hint.event_ms {
@@ -546,7 +546,7 @@
         if service.division.is_reserved(name) || ms < MIN_PAUSE_SHARE * service.load.gap_ms {
             return;
         }
-        service.harm.add_pause(ms, service.load.gap_ms, now);
+        service.interference.add_pause(ms, service.load.gap_ms, now);
         if service.unreported_pauses.len() < MAX_REPORTED_PAUSES {
             service.unreported_pauses.push(ms as u16);
         }
@@ -581,18 +581,18 @@
                 slowness: upstream.pace.event_ms().map(|_| upstream.pace.slowness(median_pace)),
             });
             let gap_ms = known.load.gap_ms;
-            let harm = |slowness| known.harm.late_share(slowness, gap_ms, now);
-            known.division.adapt(members, &known.load, harm);
+            let late_share = |slowness| known.interference.late_share(slowness, gap_ms, now);
+            known.division.adapt(members, &known.load, late_share);
         }
         self.services.iter().map(|(name, service)| (name.as_str(), service.division.reserved()))
     }
 
     /// Adopts another router's division of a service's engines. Returns whether it differs from the current
     /// one.
-    pub fn follow_division(&mut self, service: &str, short: &[String]) -> bool {
+    pub fn follow_division(&mut self, service: &str, reserved: &[String]) -> bool {
         let division = &mut self.services.entry(service.to_owned()).or_default().division;
-        let is_new = division.reserved() != short;
-        *division = Division::follow(short.to_vec());
+        let is_new = division.reserved() != reserved;
+        *division = Division::follow(reserved.to_vec());
         is_new
     }
 
@@ -656,7 +656,7 @@
         // The upstream may have restarted, which the list reports only after the first gateways have tried it
         // again.
         if let Some(warmup) = self.warmups.get(&upstream.info.service) {
-            upstream.warming.mark_uncertain(until.saturating_sub(now) + warmup.duration_ms, now);
+            upstream.warmup.mark_uncertain(until.saturating_sub(now) + warmup.duration_ms, now);
         }
         upstream.parts.clear();
         upstream.part_order.clear();
@@ -675,7 +675,7 @@
     /// at the usual speed, if it is known.
     pub fn late_share(&self, service: &str, now: Millis) -> Option<f64> {
         let service = self.services.get(service)?;
-        service.harm.late_share(1.0, service.load.gap_ms, now)
+        service.interference.late_share(1.0, service.load.gap_ms, now)
     }
 
     /// The factor by which each engine of a service is slower than usual.
--- a/crates/route/src/placement/upstream.rs
+++ b/crates/route/src/placement/upstream.rs
@@ -43,7 +43,7 @@
     pub(super) health: Health,
     pub(super) parts: HashMap<u64, Millis>,
     pub(super) part_order: VecDeque<u64>,
-    pub(super) warming: WarmupTracker,
+    pub(super) warmup: WarmupTracker,
 }
 
 /// A dispatch that waits for its first answer.
@@ -69,7 +69,7 @@
 pub(super) struct Service {
     pub(super) model: Model,
     pub(super) load: Load,
-    pub(super) harm: Interference,
+    pub(super) interference: Interference,
     pub(super) division: Division,
     /// The average duration of a run from its first answer on, in milliseconds; 0 until one ended.
     pub(super) run_ms: f64,
@@ -88,7 +88,7 @@
     /// Counts a short stream that starts on an engine which also reads long prompts.
     pub(super) fn record_short_stream(&mut self, upstream: &str, now: Millis) {
         if !self.division.is_reserved(upstream) {
-            self.harm.add_streams(1, now);
+            self.interference.add_streams(1, now);
         }
     }
 
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -211,7 +211,7 @@
     /// Records that a peer knows an upstream to be leaving. Returns whether this was not known yet. The mark
     /// expires unless the peer repeats it, and is never passed on: otherwise routers would keep a withdrawn
     /// mark alive between them.
-    pub fn hear_leaving(&mut self, name: &str, now: Millis) -> bool {
+    pub fn record_leaving_hint(&mut self, name: &str, now: Millis) -> bool {
         let is_new = !self.is_leaving(name, now);
         self.peer_leaving.insert(name.to_owned(), now + PEER_LEAVING_MS);
         is_new
--- a/crates/route/src/signals.rs
+++ b/crates/route/src/signals.rs
@@ -88,7 +88,7 @@
 
     /// Records what another gateway reports about an upstream's limit. Returns whether the limit begins or
     /// ends.
-    pub(crate) fn hear_limit(
+    pub(crate) fn record_limit_hint(
         &mut self,
         upstream: &str,
         per_s: Option<f64>,
@@ -99,7 +99,7 @@
         let Some(per_s) = per_s else { return limit.take().is_some() };
         match limit {
             Some(limit) => {
-                limit.hear(per_s, now);
+                limit.record_hint(per_s, now);
                 false
             }
             None => {
--- a/crates/route/tests/decisions.rs
+++ b/crates/route/tests/decisions.rs
@@ -144,9 +144,10 @@
         pool.record_failure(name, 1_500);
     }
     let ejected = |pool: &Pool, now| {
-        let view = pool.statuses(now);
-        view.iter()
-            .filter(|(_, view)| view.ejected)
+        let statuses = pool.statuses(now);
+        statuses
+            .iter()
+            .filter(|(_, status)| status.ejected)
             .map(|(name, _)| name.clone())
             .collect::<Vec<_>>()
             .join(" ")
@@ -178,8 +179,8 @@
 fn a_peers_message_that_an_upstream_is_leaving_expires() {
     let mut pool = Pool::new("a");
     pool.set("engine-1", spec("a", 4));
-    assert!(pool.hear_leaving("engine-1", 0));
-    assert!(!pool.hear_leaving("engine-1", 100), "it is known already");
+    assert!(pool.record_leaving_hint("engine-1", 0));
+    assert!(!pool.record_leaving_hint("engine-1", 100), "it is known already");
     assert_eq!(pool.pick(&pick_request(1), 1_000), Pick::Wait);
     assert_eq!(pool.leaving().count(), 0, "a message from a peer is not passed on");
     assert!(matches!(pool.pick(&pick_request(1), 6_000), Pick::Take(_)));
--- a/crates/route/tests/fleet/mod.rs
+++ b/crates/route/tests/fleet/mod.rs
@@ -34,12 +34,12 @@
     placer: Placer,
     started: Millis,
     next_read: Millis,
-    next_beat: Millis,
+    next_heartbeat: Millis,
     /// A response to a read on its way to the gateway: its arrival time, the time of the read, and the rows.
     pending_read: Option<(Millis, Millis, ListedGateways)>,
     /// A confirmation of a heartbeat on its way to the gateway: its arrival time, and the time of the
     /// heartbeat.
-    pending_beat: Option<(Millis, Millis)>,
+    pending_heartbeat: Option<(Millis, Millis)>,
     is_disconnected: bool,
 }
 
@@ -58,9 +58,9 @@
             placer,
             started: now,
             next_read: now,
-            next_beat: now + random.gen_range(100..400),
+            next_heartbeat: now + random.gen_range(100..400),
             pending_read: None,
-            pending_beat: None,
+            pending_heartbeat: None,
             is_disconnected: false,
         }
     }
@@ -73,8 +73,8 @@
     while let Some(chosen) = placer.choose(&request, now) {
         let index: usize = chosen.upstream["engine-".len()..].parse().expect("a number");
         sent[index] += 1;
-        let ticket = placer.begin(&chosen, None, now);
-        placer.end(&chosen.upstream, ticket, now);
+        let dispatch = placer.begin(&chosen, None, now);
+        placer.end(&chosen.upstream, dispatch, now);
     }
     sent
 }
@@ -123,7 +123,7 @@
                 _ => {}
             }
         }
-        rows.retain(|_, (beaten, _)| now - *beaten < ROW_EXPIRY);
+        rows.retain(|_, (sent_at, _)| now - *sent_at < ROW_EXPIRY);
         for gateway in &mut gateways {
             let interval = READ_INTERVAL + random.gen_range(0..500);
             if now >= gateway.next_read && gateway.pending_read.is_none() && !gateway.is_disconnected {
@@ -131,25 +131,28 @@
                 gateway.pending_read = Some((now + random.gen_range(0..MAX_RESPONSE_AGE), now, listed));
                 gateway.next_read = now + interval;
             }
-            if let Some((arrives, asked, listed)) = gateway.pending_read.take() {
+            if let Some((arrives, requested_at, listed)) = gateway.pending_read.take() {
                 if now < arrives {
-                    gateway.pending_read = Some((arrives, asked, listed));
+                    gateway.pending_read = Some((arrives, requested_at, listed));
                 } else {
                     let own = listed.iter().find(|(name, _)| *name == gateway.name).map(|(_, up_ms)| *up_ms);
                     let names = listed.iter().map(|(name, _)| name.as_str());
-                    gateway.placer.roster.update_list(&gateway.name, names, own, asked, READ_INTERVAL);
+                    gateway.placer.roster.update_list(&gateway.name, names, own, requested_at, READ_INTERVAL);
                 }
             }
-            if now >= gateway.next_beat && gateway.pending_beat.is_none() && !gateway.is_disconnected {
+            if now >= gateway.next_heartbeat
+                && gateway.pending_heartbeat.is_none()
+                && !gateway.is_disconnected
+            {
                 rows.insert(gateway.name.clone(), (now, now - gateway.started));
                 // Some confirmations are lost.
                 let answer = random.gen_bool(0.9).then(|| (now + random.gen_range(0..MAX_RESPONSE_AGE), now));
-                gateway.pending_beat = answer;
-                gateway.next_beat = now + HEARTBEAT_INTERVAL;
+                gateway.pending_heartbeat = answer;
+                gateway.next_heartbeat = now + HEARTBEAT_INTERVAL;
             }
-            if let Some((arrives, sent)) = gateway.pending_beat.filter(|(arrives, _)| now >= *arrives) {
+            if let Some((arrives, sent)) = gateway.pending_heartbeat.filter(|(arrives, _)| now >= *arrives) {
                 gateway.placer.roster.confirm_heartbeat(sent, arrives, LEASE, READ_INTERVAL);
-                gateway.pending_beat = None;
+                gateway.pending_heartbeat = None;
             }
             let sent = send(&mut gateway.placer, now);
             for (received, count) in received.iter_mut().zip(sent).filter(|(_, count)| *count > 0) {
--- a/crates/route/tests/places.rs
+++ b/crates/route/tests/places.rs
@@ -74,10 +74,10 @@
         pauses_ms: Default::default(),
         since: Default::default(),
     };
-    placer.hear_dispatch(&home, &hint, 0);
+    placer.record_dispatch_hint(&home, &hint, 0);
     assert_ne!(choose(&placer, 100).upstream, home);
     assert_eq!(choose(&placer, 1_000).upstream, home, "the prompt should have been read by then");
-    placer.hear_dispatch("unknown", &hint, 0);
+    placer.record_dispatch_hint("unknown", &hint, 0);
 }
 
 #[test]
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -217,13 +217,13 @@
     answers: u64,
     ends: u64,
     /// The dispatches that are left, including this one.
-    tries: u32,
+    dispatches_left: u32,
 }
 
 impl Run {
-    fn start(number: u64, engine: usize, tries: u32, now: u64, random: &mut SmallRng) -> Run {
+    fn start(number: u64, engine: usize, dispatches_left: u32, now: u64, random: &mut SmallRng) -> Run {
         let answers = now + random.gen_range(50..300);
-        Run { number, engine, answers, ends: answers + random.gen_range(50..3_000), tries }
+        Run { number, engine, answers, ends: answers + random.gen_range(50..3_000), dispatches_left }
     }
 }
 
@@ -292,8 +292,8 @@
                 quarantine.record_crash(request(run.number), &upstream, stage, now);
             }
             *run = match remaining.choose(&mut random) {
-                Some(engine) if run.tries > 1 => {
-                    Run::start(run.number, *engine, run.tries - 1, now, &mut random)
+                Some(engine) if run.dispatches_left > 1 => {
+                    Run::start(run.number, *engine, run.dispatches_left - 1, now, &mut random)
                 }
                 _ => Run { ends: 0, ..*run },
             };
--- a/crates/route/tests/spread.rs
+++ b/crates/route/tests/spread.rs
@@ -34,7 +34,7 @@
 
 /// A VM, with the requests that wait for its link.
 struct Vm {
-    strain: OverloadMonitor,
+    monitor: OverloadMonitor,
     waiting: VecDeque<(Millis, usize)>,
     /// The bytes of the first waiting request that have been transferred.
     transferred: f64,
@@ -67,7 +67,7 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let mut fleet: Vec<Vm> = (0..vms)
         .map(|_| Vm {
-            strain: OverloadMonitor::new(Some(LINK_BYTES_PER_S)),
+            monitor: OverloadMonitor::new(Some(LINK_BYTES_PER_S)),
             waiting: VecDeque::new(),
             transferred: 0.0,
             bytes: 0,
@@ -118,26 +118,26 @@
             let (_, connection) = working.pop_front().expect("one is done");
             let Connection { caller, vm, .. } = connections[connection];
             connections[connection].busy = false;
-            if !fleet[vm].strain.should_close_connection(random.r#gen()) {
+            if !fleet[vm].monitor.should_close_connection(random.r#gen()) {
                 idle[caller].push(connection);
             }
         }
         for (vm, was_withdrawn) in fleet.iter_mut().zip(&mut was_withdrawn) {
             if withdraws && now % 100 == 0 {
-                vm.strain.record(LoadSample {
+                vm.monitor.record(LoadSample {
                     at: now,
                     timer_delay_ms: 0.0,
                     link_bytes: std::mem::take(&mut vm.bytes),
                 });
-                vm.withdrawals += u32::from(vm.strain.is_unready() && !*was_withdrawn);
-                *was_withdrawn = vm.strain.is_unready();
+                vm.withdrawals += u32::from(vm.monitor.is_unready() && !*was_withdrawn);
+                *was_withdrawn = vm.monitor.is_unready();
             }
             if now % CHECK_INTERVAL_MS == 0 {
-                vm.failed_checks = if vm.strain.is_unready() { vm.failed_checks + 1 } else { 0 };
+                vm.failed_checks = if vm.monitor.is_unready() { vm.failed_checks + 1 } else { 0 };
                 vm.is_in_rotation = vm.failed_checks < FAILED_CHECKS;
             }
         }
-        outcome.not_ready = outcome.not_ready.max(fleet.iter().filter(|vm| vm.strain.is_unready()).count());
+        outcome.not_ready = outcome.not_ready.max(fleet.iter().filter(|vm| vm.monitor.is_unready()).count());
     }
     let withdrawals: u32 = fleet.iter().map(|vm| vm.withdrawals).sum();
     outcome.withdrawals = f64::from(withdrawals) / vms as f64 / (DURATION_MS as f64 / 10_000.0);
@@ -209,22 +209,22 @@
 
 #[test]
 fn a_vm_that_was_suspended_for_seconds_is_not_overloaded() {
-    let mut strain = OverloadMonitor::new(None);
+    let mut monitor = OverloadMonitor::new(None);
     for at in (0..2_000).step_by(100) {
-        strain.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 0 });
+        monitor.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 0 });
     }
-    strain.record(LoadSample { at: 6_000, timer_delay_ms: 4_000.0, link_bytes: 0 });
+    monitor.record(LoadSample { at: 6_000, timer_delay_ms: 4_000.0, link_bytes: 0 });
     for at in (6_100..8_000).step_by(100) {
-        strain.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 0 });
-        assert!(!strain.is_unready(), "at {at}");
+        monitor.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 0 });
+        assert!(!monitor.is_unready(), "at {at}");
     }
 }
 
 #[test]
 fn a_link_of_unknown_capacity_is_never_full() {
-    let mut strain = OverloadMonitor::new(None);
+    let mut monitor = OverloadMonitor::new(None);
     for at in (0..3_000).step_by(100) {
-        strain.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 1 << 30 });
+        monitor.record(LoadSample { at, timer_delay_ms: 0.5, link_bytes: 1 << 30 });
     }
-    assert!(!strain.is_unready());
+    assert!(!monitor.is_unready());
 }
--- a/crates/route/tests/warmup.rs
+++ b/crates/route/tests/warmup.rs
@@ -16,25 +16,25 @@
 
 const PER_S: f64 = 9.9;
 
-fn places(per_s: f64) -> Placer {
-    let mut places = Placer::new("here");
-    places.set_warmups(HashMap::from([("narrator".to_owned(), Warmup { per_s, duration_ms: 3_000 })]));
-    (0..UPSTREAMS).for_each(|index| places.set(&upstream(index), upstream_info(), false));
-    places
+fn placer_with_warmup(per_s: f64) -> Placer {
+    let mut placer = Placer::new("here");
+    placer.set_warmups(HashMap::from([("narrator".to_owned(), Warmup { per_s, duration_ms: 3_000 })]));
+    (0..UPSTREAMS).for_each(|index| placer.set(&upstream(index), upstream_info(), false));
+    placer
 }
 
 /// Sends as many requests as possible to the upstreams, all of which keep warming up. Returns how many each
 /// received.
-fn send(places: &mut Placer, now: Millis) -> [u32; UPSTREAMS] {
-    (0..UPSTREAMS).for_each(|index| places.warm_up(&upstream(index), 60_000, now));
-    fleet::send(places, now)
+fn send(placer: &mut Placer, now: Millis) -> [u32; UPSTREAMS] {
+    (0..UPSTREAMS).for_each(|index| placer.warm_up(&upstream(index), 60_000, now));
+    fleet::send(placer, now)
 }
 
 #[test]
 fn no_upstream_that_warms_up_gets_more_than_its_limit_whatever_gateways_know() {
     for seed in 0..40 {
         let fleet = [2, 3, 6, 12, 30][seed as usize % 5];
-        let received = fleet::simulate(seed, fleet, || places(PER_S), send);
+        let received = fleet::simulate(seed, fleet, || placer_with_warmup(PER_S), send);
         let most = received.iter().map(|received| max_within(received, 1_000)).max().unwrap_or(0);
         assert!(most <= PER_S as u32, "seed {seed}: {fleet} gateways sent {most} in a second");
         assert!(most > 0, "seed {seed}: {fleet} gateways sent nothing");
@@ -45,17 +45,17 @@
 /// know each other.
 fn received_per_second(fleet: usize, per_s: f64) -> Vec<u32> {
     let names: Vec<String> = (0..fleet).map(|index| format!("vm-{index}")).collect();
-    let mut gateways: Vec<Placer> = names.iter().map(|_| places(per_s)).collect();
-    for (name, places) in names.iter().zip(&mut gateways) {
+    let mut gateways: Vec<Placer> = names.iter().map(|_| placer_with_warmup(per_s)).collect();
+    for (name, placer) in names.iter().zip(&mut gateways) {
         let up_ms = Roster::join_delay_ms(READ_INTERVAL);
-        places.roster.update_list(name, names.iter().map(String::as_str), Some(up_ms), 0, 100_000);
-        places.roster.update_list(name, names.iter().map(String::as_str), Some(u64::MAX), 0, 100_000);
-        places.roster.confirm_heartbeat(0, 0, 100_000, READ_INTERVAL);
+        placer.roster.update_list(name, names.iter().map(String::as_str), Some(up_ms), 0, 100_000);
+        placer.roster.update_list(name, names.iter().map(String::as_str), Some(u64::MAX), 0, 100_000);
+        placer.roster.confirm_heartbeat(0, 0, 100_000, READ_INTERVAL);
     }
     let mut seconds = vec![0; 5];
     for now in (0..5_000).step_by(50) {
-        for places in &mut gateways {
-            seconds[now as usize / 1_000] += send(places, now).iter().sum::<u32>();
+        for placer in &mut gateways {
+            seconds[now as usize / 1_000] += send(placer, now).iter().sum::<u32>();
         }
     }
     seconds
@@ -78,13 +78,13 @@
 
 #[test]
 fn a_warm_up_ends_after_the_maximum_even_if_a_day_is_reported() {
-    let mut places = places(PER_S);
-    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
+    let mut placer = placer_with_warmup(PER_S);
+    let request = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
     for index in 0..UPSTREAMS {
-        places.warm_up(&upstream(index), 86_400_000, 1_000);
+        placer.warm_up(&upstream(index), 86_400_000, 1_000);
     }
-    assert_eq!(places.choose(&need, 1_001), None, "this gateway has read no list and has no part");
-    assert!(places.choose(&need, 61_000).is_some());
+    assert_eq!(placer.choose(&request, 1_001), None, "this gateway has read no list and has no part");
+    assert!(placer.choose(&request, 61_000).is_some());
 }
 
 #[test]
@@ -94,51 +94,51 @@
 
 #[test]
 fn an_upstream_that_may_have_restarted_counts_as_warming_up() {
-    let mut places = places(PER_S);
+    let mut placer = placer_with_warmup(PER_S);
     for _ in 0..3 {
-        places.record_failure("engine-0", 100);
+        placer.record_failure("engine-0", 100);
     }
-    places.record_success("engine-1", None);
-    let need = |avoid: &'static [String]| PlacementRequest { service: "narrator", prompt: None, avoid };
-    let chosen = |places: &Placer, now| places.choose(&need(&[]), now).map(|chosen| chosen.upstream);
-    (1..UPSTREAMS).for_each(|index| places.warm_up(&upstream(index), 2_000, 1_200));
-    assert_eq!(chosen(&places, 1_300).as_deref(), Some("engine-0"), "all others are known to warm up");
-    (1..UPSTREAMS).for_each(|index| places.forget(&upstream(index)));
-    places.set("engine-1", upstream_info(), false);
+    placer.record_success("engine-1", None);
+    let request = |avoid: &'static [String]| PlacementRequest { service: "narrator", prompt: None, avoid };
+    let chosen = |placer: &Placer, now| placer.choose(&request(&[]), now).map(|chosen| chosen.upstream);
+    (1..UPSTREAMS).for_each(|index| placer.warm_up(&upstream(index), 2_000, 1_200));
+    assert_eq!(chosen(&placer, 1_300).as_deref(), Some("engine-0"), "all others are known to warm up");
+    (1..UPSTREAMS).for_each(|index| placer.forget(&upstream(index)));
+    placer.set("engine-1", upstream_info(), false);
     for _ in 0..20 {
         assert_eq!(
-            chosen(&places, 1_300).as_deref(),
+            chosen(&placer, 1_300).as_deref(),
             Some("engine-1"),
             "the ejection of engine-0 is over, but it may still be warming up"
         );
-        let chosen = places.choose(&need(&[]), 1_300).expect("an upstream");
-        places.begin(&chosen, None, 1_300);
+        let chosen = placer.choose(&request(&[]), 1_300).expect("an upstream");
+        placer.begin(&chosen, None, 1_300);
     }
-    assert_eq!(chosen(&places, 4_200).as_deref(), Some("engine-0"));
+    assert_eq!(chosen(&placer, 4_200).as_deref(), Some("engine-0"));
 }
 
 #[test]
 fn if_all_upstreams_may_have_restarted_they_are_tried() {
-    let mut places = places(PER_S);
+    let mut placer = placer_with_warmup(PER_S);
     for index in 0..UPSTREAMS {
-        (0..3).for_each(|_| _ = places.record_failure(&upstream(index), 100));
+        (0..3).for_each(|_| _ = placer.record_failure(&upstream(index), 100));
     }
-    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
-    assert!(places.choose(&need, 1_200).is_some(), "this gateway has read no list and has no part");
+    let request = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
+    assert!(placer.choose(&request, 1_200).is_some(), "this gateway has read no list and has no part");
 }
 
 #[test]
 fn an_evacuated_data_centre_gets_no_requests_and_warms_up_when_it_is_restored() {
-    let mut places = places(PER_S);
-    let need = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
-    assert!(places.evacuate("here") && !places.evacuate("here"));
-    assert_eq!(places.choose(&need, 0), None);
-    assert!(!places.admits("engine-0", 0));
-    assert!(!places.restore("there", 0), "it was not evacuated");
-    assert!(places.restore("here", 10));
-    assert!(places.admits("engine-0", 10));
-    assert!(!places.has_room("engine-0", 10), "the other gateways may not know that it was restored");
-    assert!(places.choose(&need, 3_010).is_some());
+    let mut placer = placer_with_warmup(PER_S);
+    let request = PlacementRequest { service: "narrator", prompt: None, avoid: &[] };
+    assert!(placer.evacuate("here") && !placer.evacuate("here"));
+    assert_eq!(placer.choose(&request, 0), None);
+    assert!(!placer.admits("engine-0", 0));
+    assert!(!placer.restore("there", 0), "it was not evacuated");
+    assert!(placer.restore("here", 10));
+    assert!(placer.admits("engine-0", 10));
+    assert!(!placer.has_room("engine-0", 10), "the other gateways may not know that it was restored");
+    assert!(placer.choose(&request, 3_010).is_some());
 }
 
 /// The most requests that one upstream receives in a second when a third of them restart together, over all
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -110,7 +110,7 @@
     /// Takes in that a peer knows an upstream to be leaving.
     pub(crate) fn hear_leaving(&self, name: &str) -> bool {
         let now = self.clock.now();
-        self.lock().desk.pool.hear_leaving(name, now)
+        self.lock().desk.pool.record_leaving_hint(name, now)
     }
 
     /// The upstreams that this router itself found to be leaving.
