--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -238,7 +238,7 @@
             Event::Arrival => self.arrive(),
             Event::ReachEngine { engine, id } => self.reach_engine(engine, id),
             Event::ReceiveHint { router, engine, hint } => {
-                self.routers[router].hear_dispatch(&self.names[engine], &hint, self.now as Millis);
+                self.routers[router].record_dispatch_hint(&self.names[engine], &hint, self.now as Millis);
             }
             Event::EndStep { engine, number } => self.end_step(engine, number),
             Event::Timeout { id } => self.time_out(id),
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -110,7 +110,7 @@
     /// Records a peer's hint that an upstream is leaving. Returns whether this changed its state.
     pub(crate) fn record_leaving_hint(&self, name: &str) -> bool {
         let now = self.clock.now();
-        self.lock().dispatcher.pool.hear_leaving(name, now)
+        self.lock().dispatcher.pool.record_leaving_hint(name, now)
     }
 
     /// The upstreams that this router itself, not only a peer, found to be leaving.
--- a/examples/bench/router.rs
+++ b/examples/bench/router.rs
@@ -48,10 +48,10 @@
                 let mut latencies = vec![];
                 let mut failed = 0;
                 for index in 0..requests / parallel {
-                    let send_chat = ChatRequest::new("narrator", &format!("Cell {worker} {index}"), tokens);
+                    let request = ChatRequest::new("narrator", &format!("Cell {worker} {index}"), tokens);
                     let sent = Instant::now();
-                    let answer = caller.send_chat(&send_chat).await;
-                    if answer.is_complete_for(&send_chat) {
+                    let answer = caller.send_chat(&request).await;
+                    if answer.is_complete_for(&request) {
                         latencies.push(sent.elapsed().as_micros() as u64);
                     } else {
                         failed += 1;
