--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -243,7 +243,7 @@
 
 /// Posts `batch` to the rows. On an error the rows must not be written.
 ///
-/// `charged` tells whether another request already charged this key of this budget (I2). `fleet` is the
+/// `charged` tells whether another request already charged this key of this budget (I2). `fleet_size` is the
 /// number of routers that draw on the pools; for a budget prepaid by credits, it limits what each is granted
 /// beyond its need.
 ///
@@ -254,7 +254,7 @@
     pools: &mut BTreeMap<String, Pool>,
     charged: &impl Fn(&ChargeIdentity<'_>) -> bool,
     batch: &Batch,
-    fleet: u64,
+    fleet_size: u64,
 ) -> Result<(), Error> {
     if batch.sequence <= account.sequence {
         return Err(Error::AlreadyPosted(batch.sequence));
@@ -266,7 +266,7 @@
         let pool = pools.entry(budget.clone()).or_default();
         let line = account.lines.entry(budget.clone()).or_default();
         let max_transfer = if account.closed { 0 } else { u64::MAX };
-        post_entry(budget, pool, line, charged, entry, (fleet, max_transfer))
+        post_entry(budget, pool, line, charged, entry, (fleet_size, max_transfer))
             .ok_or_else(|| Error::Imbalance(budget.clone()))?;
     }
     account.sequence = batch.sequence;
@@ -293,7 +293,7 @@
     line: &mut Line,
     charged: &impl Fn(&ChargeIdentity<'_>) -> bool,
     entry: &Entry,
-    (fleet, max_transfer): (u64, u64),
+    (fleet_size, max_transfer): (u64, u64),
 ) -> Option<()> {
     for credit in &entry.credits {
         pool.credit(&credit.id, credit.tokens);
@@ -325,7 +325,7 @@
     }
     let grant = match pool.level {
         Some(_) => grant_from_level(pool.free, entry.want, entry.need),
-        None => grant_from_credits(pool.free, entry.want, entry.need, fleet),
+        None => grant_from_credits(pool.free, entry.want, entry.need, fleet_size),
     }
     .min(max_transfer);
     pool.free -= grant;
@@ -349,7 +349,7 @@
 
 /// The size of a grant from a budget prepaid by credits: the need, as far as the pool has it, or what the
 /// router wants, up to half of an equal share of the free tokens.
-fn grant_from_credits(free: u64, want: u64, need: u64, fleet: u64) -> u64 {
-    let share = free / (2 * fleet.max(1));
+fn grant_from_credits(free: u64, want: u64, need: u64, fleet_size: u64) -> u64 {
+    let share = free / (2 * fleet_size.max(1));
     want.min(share).max(need).min(free)
 }
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -10,7 +10,7 @@
 /// The maximum weight of a team.
 const MAX_WEIGHT: u32 = 1_000;
 /// The top-level keys of a bundle, for error messages.
-const ALLOWED_KEYS: &str = "teams, upstreams, evacuated, models, services, limits";
+const KNOWN_KEYS: &str = "teams, upstreams, evacuated, models, services, limits";
 
 /// Parses and validates a bundle.
 ///
@@ -30,7 +30,7 @@
             services: reader.take_entries(&mut root, "services"),
             limits: reader.take(&mut root, "limits").unwrap_or_default(),
         };
-        reader.finish(&root, ALLOWED_KEYS);
+        reader.finish(&root, KNOWN_KEYS);
         validate(reader, &bundle);
         bundle
     })
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -26,7 +26,7 @@
 }
 
 impl Bundle {
-    /// The upstreams that may get new work, which excludes those in evacuated data centres.
+    /// The upstreams that may get new work. Those in evacuated data centres only finish the runs that they have.
     pub fn active_upstreams(&self) -> impl Iterator<Item = (&str, &Upstream)> {
         let all = self.upstreams.iter().map(|(name, upstream)| (name.as_str(), upstream));
         all.filter(|(_, upstream)| !self.evacuated.contains(&upstream.data_centre))
@@ -67,15 +67,15 @@
     pub weighing: Weighing,
 }
 
-/// Which kind of error to avoid first for a budget, which determines how many tokens routers reserve in
+/// Which kind of error to avoid first for a budget, which determines how many tokens routers hold in
 /// advance.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Weighing {
-    /// Refusals of requests that the budget covers: routers reserve enough tokens for a long outage.
+    /// Refusals of requests that the budget covers: routers hold enough tokens for a long outage.
     #[default]
     Refusals,
-    /// Overspend, and tokens lost with a VM: routers reserve few tokens.
+    /// Overspend, and tokens lost with a VM: routers hold few tokens.
     Overspend,
 }
 
@@ -152,16 +152,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Limits {
-    /// The demand, in seconds, that a router reserves tokens for if refusals are to be avoided first.
+    /// The demand, in seconds, that a router holds tokens for if refusals are to be avoided first.
     pub cover_refusals_s: u64,
-    /// The demand, in seconds, that a router reserves tokens for if overspend is to be avoided first.
+    /// The demand, in seconds, that a router holds tokens for if overspend is to be avoided first.
     pub cover_overspend_s: u64,
     /// The demand, in seconds, that a router may use between two settlements if refusals are to be avoided
     /// first. Tokens up to this amount are lost for good with a VM.
     pub expose_refusals_s: u64,
     /// The same if overspend and lost tokens are to be avoided first.
     pub expose_overspend_s: u64,
-    /// The minimum number of tokens that a router draws at once.
+    /// The fewest tokens of a budget in use that a router aims to hold, and may use between two settlements.
     pub grant_min: u64,
     /// The longest time that a request may wait for tokens, in milliseconds.
     pub budget_wait_ms: u64,
@@ -190,7 +190,7 @@
 }
 
 impl Limits {
-    /// The demand, in seconds, that a router reserves tokens for.
+    /// The demand, in seconds, that a router holds tokens for.
     pub fn cover_s(&self, weighing: Weighing) -> u64 {
         match weighing {
             Weighing::Refusals => self.cover_refusals_s,
--- a/crates/harness/src/plan.rs
+++ b/crates/harness/src/plan.rs
@@ -19,7 +19,7 @@
     pub tokens: u64,
     /// The weight.
     pub weight: u32,
-    /// Whether refusals or overspend are worse for the team.
+    /// Which kind of error to avoid first for the team's budget.
     pub weighing: Weighing,
 }
 
--- a/crates/harness/src/process.rs
+++ b/crates/harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A router process, which a test can pause, resume, stop and kill.
+//! A router or gateway process, which a test can pause, resume, stop and kill.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// A router process. It is killed when this is dropped.
+/// A router or gateway process. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -114,7 +114,7 @@
     /// again.
     ///
     /// # Errors
-    /// As [`Client::send`]; a time-out counts as [`Fault::Unknown`].
+    /// As [`Client::send`]; a timeout counts as [`Fault::Unknown`].
     pub async fn exchange(
         &self,
         step: &'static str,
@@ -129,7 +129,7 @@
     /// Sends `request` and waits at most `time` for the head of the answer.
     ///
     /// # Errors
-    /// As [`Client::send`]; a time-out counts as [`Fault::Unknown`].
+    /// As [`Client::send`]; a timeout counts as [`Fault::Unknown`].
     pub async fn begin(
         &self,
         step: &'static str,
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The longest delay of a time-out after a suspension.
+/// The longest delay of a timeout after a suspension.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The time since the clock was created, including suspensions. Clones share one time.
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -124,19 +124,19 @@
 /// The implementation of the RPC service by a router. All calls except `slot` are answered without waiting.
 pub trait Handler: Clone + Send + Sync + 'static {
     /// Records a heartbeat, and returns the router's own.
-    fn exchange_heartbeat(&self, beat: Heartbeat) -> Heartbeat;
+    fn exchange_heartbeat(&self, heartbeat: Heartbeat) -> Heartbeat;
     /// Lends tokens.
-    fn lend_tokens(&self, ask: BorrowRequest) -> BorrowReply;
+    fn lend_tokens(&self, request: BorrowRequest) -> BorrowReply;
     /// Returns parts of the bundle in force by digest.
     fn bundle_parts(&self, digests: &[String]) -> Vec<Option<String>>;
     /// Records where a request runs.
-    fn record_run(&self, whereabouts: RunLocation);
+    fn record_run(&self, location: RunLocation);
     /// Returns where a request runs, if it is known.
     fn find_run(&self, key: &str) -> Option<RunLocation>;
     /// Returns the bundle in force.
     fn bundle_status(&self) -> BundleStatus;
     /// Lends a slot as soon as one is free. Returns its upstream.
-    fn lend_slot(&self, ask: SlotRequest) -> impl Future<Output = Option<String>> + Send;
+    fn lend_slot(&self, request: SlotRequest) -> impl Future<Output = Option<String>> + Send;
     /// Takes back a lent slot, or withdraws a waiting request for one.
     fn release_slot(&self, id: &str, failed: bool);
     /// Records a hint that an upstream is leaving.
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -18,7 +18,7 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// The time-out of the handshake on accepted connections.
+/// The timeout of the handshake on accepted connections.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The time for which no new connection to a peer is opened after a call to it failed.
 const BACKOFF: Duration = Duration::from_millis(200);
@@ -119,7 +119,7 @@
 }
 
 impl Peers {
-    /// Creates a client that authenticates with `key`; `limit` is the default time-out of a call.
+    /// Creates a client that authenticates with `key`; `limit` is the default timeout of a call.
     pub fn new(key: FleetKey, limit: Duration) -> Peers {
         Peers { key, limit, connections: Arc::default() }
     }
@@ -140,7 +140,7 @@
         self.call_within(self.limit, step, peer, call).await
     }
 
-    /// Calls a peer with the time-out `limit`. The time-out for opening a connection remains the default.
+    /// Calls a peer with the timeout `limit`. The timeout for opening a connection remains the default.
     ///
     /// # Errors
     /// As [`Peers::call`].
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -72,7 +72,7 @@
         let call = Call {
             run: started_run.run.clone(),
             path: self.path.clone(),
-            body: self.ask.body.clone(),
+            body: self.model_request.body.clone(),
             priority: model.priority,
         };
         let starting = async { Some(node.engine.start(started_run.address, &call).await) };
@@ -121,7 +121,7 @@
                 started_run.slot.upstream
             ));
         }
-        self.node.grants.release(&self.admitted.access.budget, self.ask.max_tokens);
+        self.node.grants.release(&self.admitted.access.budget, self.model_request.max_tokens);
         let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
         let message = format!("the upstream does not accept the request: {text}");
         AttemptOutcome::Refuse(Refusal::not_run(status, "upstream_rejected", "dispatch", message))
@@ -130,7 +130,7 @@
     fn complete_answer(&self, started_run: &StartedRun, bytes: Bytes) -> AttemptOutcome {
         let usage = std::str::from_utf8(&bytes).ok().and_then(Usage::find);
         // An answer that reports no usage is charged at the maximum that was reserved.
-        let tokens = usage.map_or(self.ask.max_tokens, |usage| usage.total());
+        let tokens = usage.map_or(self.model_request.max_tokens, |usage| usage.total());
         self.charge(tokens);
         self.node.schedule.record_success(&started_run.slot.upstream, None);
         self.answer.begin(Head {
@@ -147,8 +147,11 @@
     /// Converts the reservation to the request's only charge.
     fn charge(&self, tokens: u64) {
         let node = &self.node;
-        let excess =
-            node.grants.charge(&self.admitted.access.budget, self.ask.max_tokens, self.charge_of(tokens));
+        let excess = node.grants.charge(
+            &self.admitted.access.budget,
+            self.model_request.max_tokens,
+            self.charge_of(tokens),
+        );
         if excess > 0 {
             node.metrics.excess.inc_by(excess);
             log::error!(
@@ -202,12 +205,13 @@
                     }
                     let found = if data.contains("\"usage\":{") { Usage::find(&data) } else { None };
                     usage = found.or(usage);
-                    if found.is_none() || self.ask.include_usage || !data.contains("\"choices\":[]") {
+                    if found.is_none() || self.model_request.include_usage || !data.contains("\"choices\":[]")
+                    {
                         self.answer.write(format!("data: {data}\n\n"));
                     }
                 }
                 Some(Ok(Event::Done)) => {
-                    let counted = self.ask.max_prompt_tokens + received;
+                    let counted = self.model_request.max_prompt_tokens + received;
                     self.charge(usage.map_or(counted, |usage| usage.total()));
                     let gap = first_at.map(|at| (node.clock.now() - at) as f64 / received.max(1) as f64);
                     node.schedule.record_success(&started_run.slot.upstream, gap);
@@ -288,7 +292,7 @@
                 Execution::Ran
             }
             Ok(CancelOutcome::Unseen) => {
-                node.grants.release(&self.admitted.access.budget, self.ask.max_tokens);
+                node.grants.release(&self.admitted.access.budget, self.model_request.max_tokens);
                 slot::release(node, started_run.slot);
                 Execution::NotRun
             }
@@ -325,7 +329,7 @@
             Ok(CancelOutcome::Stopped(usage)) if model.repeatable => {
                 // The next run takes a new reservation; the tokens that this one consumed stay deducted.
                 slot::release(node, started_run.slot);
-                node.grants.write_off(budget, self.ask.max_tokens, usage.total());
+                node.grants.write_off(budget, self.model_request.max_tokens, usage.total());
                 node.metrics.wasted.inc_by(usage.total());
                 AttemptOutcome::RetryUnreserved(reason, Execution::Ran)
             }
@@ -351,7 +355,7 @@
     fn hold_until_known(&self, started_run: StartedRun, charge: Option<Charge>) {
         let node = self.node.clone();
         let budget = self.admitted.access.budget.clone();
-        let reserved = self.ask.max_tokens;
+        let reserved = self.model_request.max_tokens;
         let StartedRun { run, slot, address } = started_run;
         node.grants.hold_unknown(&budget, reserved);
         node.metrics.unknown.add(reserved as i64);
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -182,7 +182,7 @@
 ) -> Result<Response<Body>, Refusal> {
     let (parts, body) = request.into_parts();
     let body = read_body(node, &admitted.bundle, body).await?;
-    let ask = ModelRequest::read(&body, &admitted.bundle.content)?;
+    let model_request = ModelRequest::read(&body, &admitted.bundle.content)?;
     let shared = SharedAnswer::new(&admitted.id, xxh3_64(&body), admitted.key.is_some());
     if let Some(response) = find_existing_run(node, &admitted, &shared, &parts, &body).await? {
         return Ok(response);
@@ -191,7 +191,7 @@
     node.records.begin(&admitted.id, &admitted.access.budget, admitted.bundle.sequence);
     node.schedule.earn_retry();
     node.open_requests.fetch_add(1, Ordering::Relaxed);
-    let job = Job { node: node.clone(), admitted, path, ask, answer: shared, head: parts, body };
+    let job = Job { node: node.clone(), admitted, path, model_request, answer: shared, head: parts, body };
     exec::spawn(job::run(job)).detach();
     Ok(response.await)
 }
--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -22,12 +22,12 @@
 
 /// The bundle's settings of a budget.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct BudgetTerms {
+struct BudgetSettings {
     credits: Vec<Credit>,
-    terms: HoldingPolicy,
+    policy: HoldingPolicy,
 }
 
-/// Whether overspending or refusals weigh more for `budget`.
+/// Returns which kind of error to avoid first for `budget`.
 pub(crate) fn weighing(bundle: &Bundle, budget: &str) -> Weighing {
     let content = budget
         .split_once('/')
@@ -36,16 +36,16 @@
 }
 
 /// Returns the bundle's settings of `budget`, which is named as `team/budget`.
-fn budget_terms(bundle: &Bundle, budget: &str) -> Option<BudgetTerms> {
+fn budget_settings(bundle: &Bundle, budget: &str) -> Option<BudgetSettings> {
     let (team, name) = budget.split_once('/')?;
     let content = bundle.teams.get(team)?.budgets.get(name)?;
     let limits = &bundle.limits;
-    let terms = HoldingPolicy {
+    let policy = HoldingPolicy {
         cover_s: limits.cover_s(content.weighing),
         min_tokens: limits.grant_min,
         expose_s: limits.expose_s(content.weighing),
     };
-    Some(BudgetTerms { credits: content.credits.clone(), terms })
+    Some(BudgetSettings { credits: content.credits.clone(), policy })
 }
 
 /// The state of a budget on this router.
@@ -127,7 +127,7 @@
         if !shard.contains_key(budget) {
             shard.insert(budget.to_owned(), BudgetState::default());
         }
-        change(shard.get_mut(budget).expect("the slot was entered above"))
+        change(shard.get_mut(budget).expect("the budget was inserted above"))
     }
 
     /// Reserves the maximum that a request can consume (I6), or records the shortage for the next settlement.
@@ -355,9 +355,9 @@
     if state.grant.has_open_entry() {
         return None;
     }
-    let BudgetTerms { credits, terms } = budget_terms(bundle, budget).unwrap_or_default();
+    let BudgetSettings { credits, policy } = budget_settings(bundle, budget).unwrap_or_default();
     state.demand.update_rate(timing.elapsed_ms);
-    let target = if timing.close { 0 } else { state.demand.target(timing.now, &terms) };
+    let target = if timing.close { 0 } else { state.demand.target(timing.now, &policy) };
     let missing = std::mem::take(&mut state.missing);
     let pool_free = state.pool.as_ref().map(|pool| pool.free);
     let off_target = is_off_target(state.grant.available(), target, pool_free);
@@ -365,5 +365,11 @@
     if missing == 0 && unexposed == 0 && !state.grant.has_unsettled_changes() && !off_target {
         return None;
     }
-    state.grant.open_entry(target, missing, state.demand.exposure_headroom(&terms) + unexposed, credits, room)
+    state.grant.open_entry(
+        target,
+        missing,
+        state.demand.exposure_headroom(&policy) + unexposed,
+        credits,
+        room,
+    )
 }
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -34,7 +34,7 @@
     pub node: Arc<Node<W>>,
     pub admitted: AdmittedRequest,
     pub path: String,
-    pub ask: ModelRequest,
+    pub model_request: ModelRequest,
     pub answer: Arc<SharedAnswer>,
     pub head: Parts,
     pub body: Bytes,
@@ -82,7 +82,7 @@
 
 impl<W: Ports> Job<W> {
     fn model(&self) -> Result<&Model, Refusal> {
-        self.admitted.bundle.content.models.get(&self.ask.model).ok_or_else(|| {
+        self.admitted.bundle.content.models.get(&self.model_request.model).ok_or_else(|| {
             Refusal::bad_request("parse", "model_not_found", "the model is not in the bundle in force")
         })
     }
@@ -115,8 +115,11 @@
     async fn run_claimed(&self, model: &Model) -> Result<(), Refusal> {
         let node = &self.node;
         let budget = &self.admitted.access.budget;
-        Box::pin(reserve(node, budget, self.ask.max_tokens)).await?;
-        node.record_step(&self.admitted.id, format!("reserved {} tokens of {budget}", self.ask.max_tokens));
+        Box::pin(reserve(node, budget, self.model_request.max_tokens)).await?;
+        node.record_step(
+            &self.admitted.id,
+            format!("reserved {} tokens of {budget}", self.model_request.max_tokens),
+        );
         let mut progress = Progress { arrived: node.clock.now(), ..Progress::default() };
         loop {
             match self.try_once(model, &mut progress).await {
@@ -138,7 +141,7 @@
         let budget = &self.admitted.access.budget;
         let (choice, slot) = Box::pin(self.choose(model, progress))
             .await
-            .inspect_err(|_| node.grants.release(budget, self.ask.max_tokens))?;
+            .inspect_err(|_| node.grants.release(budget, self.model_request.max_tokens))?;
         progress.attempts += 1;
         let next = self.attempt(model, slot, progress).await;
         progress.avoid.push(choice.upstream);
@@ -150,13 +153,13 @@
             AttemptOutcome::Refuse(refusal) => Err(refusal),
             AttemptOutcome::RetryReserved(why) => {
                 self.check_retry(progress.attempts, &why)
-                    .inspect_err(|_| node.grants.release(budget, self.ask.max_tokens))?;
+                    .inspect_err(|_| node.grants.release(budget, self.model_request.max_tokens))?;
                 Ok(NextStep::Retry(why))
             }
             AttemptOutcome::RetryUnreserved(why, execution) => {
                 progress.execution = progress.execution.max(execution);
                 self.check_retry(progress.attempts, &why)?;
-                Box::pin(reserve(node, budget, self.ask.max_tokens)).await?;
+                Box::pin(reserve(node, budget, self.model_request.max_tokens)).await?;
                 Ok(NextStep::Retry(why))
             }
         }
@@ -165,7 +168,7 @@
     /// The number of upstreams that serve the model.
     fn serving_count(&self) -> usize {
         let upstreams = self.admitted.bundle.content.active_upstreams();
-        upstreams.filter(|(_, upstream)| upstream.models.contains(&self.ask.model)).count()
+        upstreams.filter(|(_, upstream)| upstream.models.contains(&self.model_request.model)).count()
     }
 
     fn check_retry(&self, number: u32, why: &str) -> Result<(), Refusal> {
@@ -181,9 +184,9 @@
         let node = &self.node;
         let access = &self.admitted.access;
         let weight = self.admitted.bundle.content.teams.get(&access.team).map_or(1, |team| team.weight);
-        let want = SubmitRequest {
-            model: &self.ask.model,
-            prefix: self.ask.prefix,
+        let request = SubmitRequest {
+            model: &self.model_request.model,
+            prefix: self.model_request.prefix,
             avoid: &progress.avoid,
             team: &access.team,
             weight,
@@ -199,7 +202,8 @@
             ))
         };
         let (choice, slot) =
-            smol::future::or(slot::acquire(node, &self.admitted, &self.ask, &want), caller_gone).await?;
+            smol::future::or(slot::acquire(node, &self.admitted, &self.model_request, &request), caller_gone)
+                .await?;
         let reason = choice.reason.name();
         let runner_up = choice.runner_up.as_deref().unwrap_or("none");
         node.metrics.decisions.with_label_values(&[reason]).inc();
@@ -207,7 +211,7 @@
             "route: request={} team={} model={} chosen={} reason={reason} candidates={} runner-up={runner_up} bundle={}",
             self.admitted.id,
             access.team,
-            self.ask.model,
+            self.model_request.model,
             choice.upstream,
             choice.candidates,
             self.admitted.bundle.sequence
--- a/crates/router/src/keep.rs
+++ b/crates/router/src/keep.rs
@@ -79,7 +79,7 @@
             );
             return node.stop_accepting();
         }
-        let is_told = {
+        let is_notified = {
             let mut state = self.lock();
             if state.promising_keeper.as_deref() != Some(keeper) {
                 state.promising_keeper = None;
@@ -87,7 +87,7 @@
             state.keepers.retain(|known| known == keeper);
             state.notified_keeper.as_deref() == Some(keeper)
         };
-        let Some(address) = address_of(node, keeper).filter(|_| !is_told) else { return };
+        let Some(address) = address_of(node, keeper).filter(|_| !is_notified) else { return };
         let holder = node.holder.clone();
         let call = |client: LinkClient, context| async move { client.keep(context, holder).await };
         match node.peers.call("keep", address, call).await {
--- a/crates/router/src/leaving.rs
+++ b/crates/router/src/leaving.rs
@@ -100,7 +100,8 @@
     }
 }
 
-/// Takes back the slots of borrowers that are gone. This waits for the time-out for the start of an answer.
+/// Takes back the slots of borrowers that are gone. A slot is first kept for the timeout for the start of an
+/// answer, after which the borrower's run is assumed to have ended.
 fn reclaim_slots<W: Ports>(node: &Node<W>) {
     let now = node.clock.now();
     let longest = node.settings.limits.start_ms;
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -55,11 +55,11 @@
         self.0.heartbeat()
     }
 
-    fn lend_tokens(&self, ask: BorrowRequest) -> BorrowReply {
-        let tokens = self.0.grants.lend(&ask.id, &ask.budget, ask.tokens);
+    fn lend_tokens(&self, request: BorrowRequest) -> BorrowReply {
+        let tokens = self.0.grants.lend(&request.id, &request.budget, request.tokens);
         if tokens > 0 {
             self.0.metrics.lent.inc_by(tokens);
-            log::info!("budget: lent {tokens} tokens of {} for loan {}", ask.budget, ask.id);
+            log::info!("budget: lent {tokens} tokens of {} for loan {}", request.budget, request.id);
         }
         BorrowReply { tokens }
     }
@@ -77,8 +77,8 @@
         self.0.run_hints.get(key)
     }
 
-    async fn lend_slot(&self, ask: SlotRequest) -> Option<String> {
-        self.0.slot_loans.lend(&self.0.schedule, self.0.clock.now(), ask).await
+    async fn lend_slot(&self, request: SlotRequest) -> Option<String> {
+        self.0.slot_loans.lend(&self.0.schedule, self.0.clock.now(), request).await
     }
 
     fn release_slot(&self, id: &str, failed: bool) {
--- a/crates/router/src/reserve.rs
+++ b/crates/router/src/reserve.rs
@@ -64,7 +64,7 @@
 }
 
 /// Whether the router may use its whole grant although neither the platform nor its keeper answers. This is
-/// allowed for budgets for which refusals weigh more than overspending. It relies on the platform's list not
+/// allowed for budgets for which refusals are to be avoided first. It relies on the platform's list not
 /// dropping a VM that still runs.
 fn may_exceed_exposure<W: Ports>(node: &Node<W>, budget: &str) -> bool {
     let allowed =
@@ -100,38 +100,38 @@
         if got >= missing {
             break;
         }
-        let ask = BorrowRequest {
+        let request = BorrowRequest {
             id: format!("{}/{}", node.holder, Uuid::new_v4()),
             budget: budget.to_owned(),
             tokens: missing - got,
         };
-        match request_loan(node, address, &ask).await {
+        match request_loan(node, address, &request).await {
             Some(tokens) => {
                 if tokens > 0 {
-                    receive_loan(node, &name, &ask, tokens);
+                    receive_loan(node, &name, &request, tokens);
                 }
                 got += tokens;
             }
             // The lender may have deducted the tokens although its answer was lost: ask again with the same
             // id.
-            None => exec::spawn(retry_loan(node.clone(), name, address, ask)).detach(),
+            None => exec::spawn(retry_loan(node.clone(), name, address, request)).detach(),
         }
     }
     got
 }
 
-async fn request_loan<W: Ports>(node: &Node<W>, address: SocketAddr, ask: &BorrowRequest) -> Option<u64> {
-    let ask = ask.clone();
-    let call = |client: LinkClient, context| async move { client.borrow(context, ask).await };
-    node.peers.call("borrow", address, call).await.ok().map(|lent| lent.tokens)
+async fn request_loan<W: Ports>(node: &Node<W>, address: SocketAddr, request: &BorrowRequest) -> Option<u64> {
+    let request = request.clone();
+    let call = |client: LinkClient, context| async move { client.borrow(context, request).await };
+    node.peers.call("borrow", address, call).await.ok().map(|reply| reply.tokens)
 }
 
-async fn retry_loan<W: Ports>(node: Arc<Node<W>>, name: String, address: SocketAddr, ask: BorrowRequest) {
+async fn retry_loan<W: Ports>(node: Arc<Node<W>>, name: String, address: SocketAddr, request: BorrowRequest) {
     node.metrics.loans_open.inc();
     let mut answer = None;
     for _ in 0..LOAN_ATTEMPTS {
         exec::sleep(millis(LOAN_PAUSE_MS)).await;
-        answer = request_loan(&node, address, &ask).await;
+        answer = request_loan(&node, address, &request).await;
         if answer.is_some() {
             break;
         }
@@ -139,17 +139,17 @@
     node.metrics.loans_open.dec();
     match answer {
         Some(0) => {}
-        Some(tokens) => receive_loan(&node, &name, &ask, tokens),
+        Some(tokens) => receive_loan(&node, &name, &request, tokens),
         None => log::warn!(
             "budget: loan {} of {} from {name} got no answer after all attempts",
-            ask.id,
-            ask.budget
+            request.id,
+            request.budget
         ),
     }
 }
 
-fn receive_loan<W: Ports>(node: &Node<W>, name: &str, ask: &BorrowRequest, tokens: u64) {
-    node.grants.receive(&ask.budget, tokens);
+fn receive_loan<W: Ports>(node: &Node<W>, name: &str, request: &BorrowRequest, tokens: u64) {
+    node.grants.receive(&request.budget, tokens);
     node.metrics.borrowed.inc_by(tokens);
-    log::info!("budget: borrowed {tokens} tokens of {} from {name} for loan {}", ask.budget, ask.id);
+    log::info!("budget: borrowed {tokens} tokens of {} from {name} for loan {}", request.budget, request.id);
 }
--- a/crates/router/src/schedule.rs
+++ b/crates/router/src/schedule.rs
@@ -144,14 +144,14 @@
     }
 
     /// Waits for an upstream. Its slot is occupied until [`Schedule::release`].
-    pub(crate) async fn wait_for_upstream(&self, want: &SubmitRequest<'_>) -> Result<Choice, Refusal> {
+    pub(crate) async fn wait_for_upstream(&self, request: &SubmitRequest<'_>) -> Result<Choice, Refusal> {
         let (chosen, choice) = async_channel::bounded(1);
         // Dropping the sender of a displaced request ends its wait.
-        let (entered, _displaced) = self.lock().dispatcher.submit(want, chosen, self.clock.now());
-        let number = match entered {
+        let (outcome, _displaced) = self.lock().dispatcher.submit(request, chosen, self.clock.now());
+        let number = match outcome {
             SubmitOutcome::Chosen(choice) => return Ok(choice),
             SubmitOutcome::Waiting(number) => number,
-            SubmitOutcome::NoUpstream => return Err(no_upstream(want.model)),
+            SubmitOutcome::NoUpstream => return Err(no_upstream(request.model)),
             SubmitOutcome::Full(millis) => return Err(queue_full(millis.max(MIN_RETRY_AFTER_MS))),
             SubmitOutcome::Late(millis) => {
                 return Err(too_late(
@@ -160,8 +160,8 @@
                 ));
             }
         };
-        let waiting = QueuedRequest { schedule: self, model: want.model, number, choice };
-        let limit = Duration::from_millis(want.deadline.saturating_sub(self.clock.now()));
+        let waiting = QueuedRequest { schedule: self, model: request.model, number, choice };
+        let limit = Duration::from_millis(request.deadline.saturating_sub(self.clock.now()));
         match exec::timeout(limit, waiting.choice.recv()).await {
             Some(Ok(choice)) => Ok(choice),
             Some(Err(_)) => Err(too_late("it was displaced by more urgent work", MIN_RETRY_AFTER_MS)),
@@ -195,9 +195,9 @@
     }
 
     /// Takes a slot of the upstream `at` for a peer's request, if one is free.
-    pub(crate) fn try_take_slot(&self, want: &SubmitRequest<'_>, at: &str) -> Option<String> {
+    pub(crate) fn try_take_slot(&self, request: &SubmitRequest<'_>, at: &str) -> Option<String> {
         let now = self.clock.now();
-        self.lock().dispatcher.lend(want, Some(at), now)
+        self.lock().dispatcher.lend(request, Some(at), now)
     }
 
     /// Releases a slot and dispatches waiting requests.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,8 +1,8 @@
-//! The router's settings, read from YAML and validated; all mistakes are reported at once.
+//! The router's settings, read from YAML and validated; all errors are reported at once.
 //!
 //! ```
-//! let mistakes = router::Settings::read("name: vm-1\n").unwrap_err();
-//! assert!(mistakes.iter().any(|mistake| mistake.path == "platform"));
+//! let errors = router::Settings::read("name: vm-1\n").unwrap_err();
+//! assert!(errors.iter().any(|error| error.path == "platform"));
 //! ```
 
 use peer::FleetKey;
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use yaml::{ConfigError, Reader};
 
-/// The top-level keys.
-const KEYS: &str = "name, data-centre, listen, platform, seeds, fleet-keys, trust, limits";
+/// The top-level keys, for error messages.
+const KNOWN_KEYS: &str = "name, data-centre, listen, platform, seeds, fleet-keys, trust, limits";
 /// The number of hex digits of a public key.
 const KEY_DIGITS: usize = 64;
 
@@ -62,7 +62,7 @@
 pub struct Platform {
     /// The platform's address.
     pub address: SocketAddr,
-    /// The time-out of a call, in milliseconds.
+    /// The timeout of a call, in milliseconds.
     #[serde(default = "second")]
     pub timeout_ms: u64,
 }
@@ -85,17 +85,17 @@
     pub threads: usize,
     /// The maximum number of open caller connections.
     pub connections: usize,
-    /// The time-out for receiving a request's head.
+    /// The timeout for receiving a request's head.
     pub head_ms: u64,
-    /// The time-out for receiving a request's body.
+    /// The timeout for receiving a request's body.
     pub body_ms: u64,
-    /// The time-out for the start of an upstream's answer.
+    /// The timeout for the start of an upstream's answer.
     pub start_ms: u64,
     /// The longest time between two events of a stream.
     pub stall_ms: u64,
-    /// The time-out of any other call to an upstream.
+    /// The timeout of any other call to an upstream.
     pub call_ms: u64,
-    /// The time-out of a call to a peer.
+    /// The timeout of a call to a peer.
     pub peer_ms: u64,
     /// The interval between settlements with the platform.
     pub sync_ms: u64,
@@ -139,7 +139,7 @@
     /// Parses and validates settings.
     ///
     /// # Errors
-    /// Returns all mistakes, in the order of the lines.
+    /// Returns all errors, sorted by line.
     pub fn read(text: &str) -> Result<Settings, Vec<ConfigError>> {
         let built = yaml::read(text, |reader, mut root| {
             let name = reader.require(&mut root, "name");
@@ -150,7 +150,7 @@
             let fleet_keys = reader.require(&mut root, "fleet-keys");
             let seeds = reader.take(&mut root, "seeds").unwrap_or_default();
             let limits = reader.take(&mut root, "limits").unwrap_or_default();
-            reader.finish(&root, KEYS);
+            reader.finish(&root, KNOWN_KEYS);
             let settings = Settings {
                 name: name?,
                 data_centre: data_centre?,
--- a/crates/router/src/slot.rs
+++ b/crates/router/src/slot.rs
@@ -64,32 +64,33 @@
 pub(crate) async fn acquire<W: Ports>(
     node: &Arc<Node<W>>,
     admitted: &AdmittedRequest,
-    ask: &ModelRequest,
-    want: &SubmitRequest<'_>,
+    model_request: &ModelRequest,
+    request: &SubmitRequest<'_>,
 ) -> Result<(Choice, Slot), Refusal> {
-    let home = node.schedule.home_upstream(&admitted.bundle.content, want.model, want.prefix);
+    let home = node.schedule.home_upstream(&admitted.bundle.content, request.model, request.prefix);
     let (home, owners) = home.unwrap_or_default();
     let is_mine = owners.contains(&node.settings.name);
     let owners = addresses(node, &owners);
-    if ask.max_prompt_tokens >= MIN_HOME_REQUEST_BYTES && !is_mine && !want.avoid.contains(&home) {
+    if model_request.max_prompt_tokens >= MIN_HOME_REQUEST_BYTES && !is_mine && !request.avoid.contains(&home)
+    {
         for lender in &owners {
-            if let Some(taken) = request_from_peer(node, *lender, want, Some(&home)).await {
+            if let Some(taken) = request_from_peer(node, *lender, request, Some(&home)).await {
                 return Ok(taken);
             }
         }
     }
     let own = async {
-        if !owners.is_empty() && !node.schedule.serves(want.model) {
+        if !owners.is_empty() && !node.schedule.serves(request.model) {
             // With fewer upstreams than routers, some routers own no slots and depend on borrowed ones.
-            exec::sleep(millis(want.deadline.saturating_sub(node.clock.now()))).await;
+            exec::sleep(millis(request.deadline.saturating_sub(node.clock.now()))).await;
         }
-        let choice = node.schedule.wait_for_upstream(want).await?;
+        let choice = node.schedule.wait_for_upstream(request).await?;
         let slot = Slot { upstream: choice.upstream.clone(), loan: None, failed: AtomicBool::new(false) };
         Ok((choice, slot))
     };
     let lent = async {
         loop {
-            if let Some(taken) = request_from_peers(node, &owners, want).await {
+            if let Some(taken) = request_from_peers(node, &owners, request).await {
                 return Ok(taken);
             }
             // No peer can serve the request now; it still waits at this router.
@@ -109,7 +110,7 @@
 async fn request_from_peers<W: Ports>(
     node: &Arc<Node<W>>,
     owners: &[SocketAddr],
-    want: &SubmitRequest<'_>,
+    request: &SubmitRequest<'_>,
 ) -> Option<(Choice, Slot)> {
     let mut lenders = owners.to_vec();
     let alive = node.alive_peers();
@@ -119,9 +120,9 @@
     }
     lenders.sort_unstable();
     lenders.dedup();
-    let mut asks: FuturesUnordered<_> =
-        lenders.into_iter().map(|lender| request_from_peer(node, lender, want, None)).collect();
-    while let Some(taken) = asks.next().await {
+    let mut requests: FuturesUnordered<_> =
+        lenders.into_iter().map(|lender| request_from_peer(node, lender, request, None)).collect();
+    while let Some(taken) = requests.next().await {
         if taken.is_some() {
             return taken;
         }
@@ -132,26 +133,27 @@
 async fn request_from_peer<W: Ports>(
     node: &Arc<Node<W>>,
     lender: SocketAddr,
-    want: &SubmitRequest<'_>,
+    request: &SubmitRequest<'_>,
     at: Option<&str>,
 ) -> Option<(Choice, Slot)> {
-    let wait_ms = if at.is_some() { 0 } else { want.deadline.saturating_sub(node.clock.now()) };
-    let ask = SlotRequest {
+    let wait_ms = if at.is_some() { 0 } else { request.deadline.saturating_sub(node.clock.now()) };
+    let slot_request = SlotRequest {
         id: Uuid::new_v4().to_string(),
         borrower: node.holder.clone(),
-        model: want.model.to_owned(),
-        prefix: want.prefix,
-        avoid: want.avoid.to_vec(),
-        team: want.team.to_owned(),
-        weight: want.weight,
-        priority: want.priority,
+        model: request.model.to_owned(),
+        prefix: request.prefix,
+        avoid: request.avoid.to_vec(),
+        team: request.team.to_owned(),
+        weight: request.weight,
+        priority: request.priority,
         wait_ms,
         at: at.map(ToOwned::to_owned),
     };
     // The guard returns the slot if the call fails or is dropped, since the lender may have lent it.
-    let mut guard = LoanGuard { node: node.clone(), loan: Some(BorrowedSlot { id: ask.id.clone(), lender }) };
+    let mut guard =
+        LoanGuard { node: node.clone(), loan: Some(BorrowedSlot { id: slot_request.id.clone(), lender }) };
     let limit = millis(wait_ms + node.settings.limits.peer_ms);
-    let call = |client: LinkClient, context| async move { client.slot(context, ask).await };
+    let call = |client: LinkClient, context| async move { client.slot(context, slot_request).await };
     let upstream = match node.peers.call_within(limit, "slot", lender, call).await {
         Ok(Some(upstream)) => upstream,
         Ok(None) => {
@@ -240,31 +242,31 @@
         &self,
         schedule: &Schedule<C>,
         now: u64,
-        ask: SlotRequest,
+        slot_request: SlotRequest,
     ) -> Option<String> {
         let (withdraw, withdrawn) = async_channel::bounded::<()>(1);
         {
             let mut state = self.lock();
-            match state.loans.get(&ask.id) {
+            match state.loans.get(&slot_request.id) {
                 Some(LoanState::Held { upstream, .. }) => return Some(upstream.clone()),
                 Some(_) => return None,
-                None => state.loans.insert(ask.id.clone(), LoanState::Waiting(withdraw)),
+                None => state.loans.insert(slot_request.id.clone(), LoanState::Waiting(withdraw)),
             };
         }
-        let want = SubmitRequest {
-            model: &ask.model,
-            prefix: ask.prefix,
-            avoid: &ask.avoid,
-            team: &ask.team,
-            weight: ask.weight,
-            priority: ask.priority,
-            deadline: now + ask.wait_ms,
+        let request = SubmitRequest {
+            model: &slot_request.model,
+            prefix: slot_request.prefix,
+            avoid: &slot_request.avoid,
+            team: &slot_request.team,
+            weight: slot_request.weight,
+            priority: slot_request.priority,
+            deadline: now + slot_request.wait_ms,
         };
-        let upstream = match &ask.at {
-            Some(at) => schedule.try_take_slot(&want, at),
+        let upstream = match &slot_request.at {
+            Some(at) => schedule.try_take_slot(&request, at),
             None => {
                 let chosen =
-                    async { schedule.wait_for_upstream(&want).await.ok().map(|choice| choice.upstream) };
+                    async { schedule.wait_for_upstream(&request).await.ok().map(|choice| choice.upstream) };
                 let over = async {
                     let _ = withdrawn.recv().await;
                     None
@@ -272,7 +274,7 @@
                 smol::future::or(chosen, over).await
             }
         };
-        self.complete_loan(schedule, now, ask, upstream)
+        self.complete_loan(schedule, now, slot_request, upstream)
     }
 
     /// Records the result of a peer's request, or releases the slot if the request was withdrawn meanwhile.
@@ -280,15 +282,19 @@
         &self,
         schedule: &Schedule<C>,
         now: u64,
-        ask: SlotRequest,
+        slot_request: SlotRequest,
         upstream: Option<String>,
     ) -> Option<String> {
         let mut state = self.lock();
-        let waits = matches!(state.loans.get(&ask.id), Some(LoanState::Waiting(_)));
+        let waits = matches!(state.loans.get(&slot_request.id), Some(LoanState::Waiting(_)));
         match upstream {
             Some(upstream) if waits => {
-                let held = LoanState::Held { upstream: upstream.clone(), borrower: ask.borrower, since: now };
-                state.loans.insert(ask.id, held);
+                let held = LoanState::Held {
+                    upstream: upstream.clone(),
+                    borrower: slot_request.borrower,
+                    since: now,
+                };
+                state.loans.insert(slot_request.id, held);
                 Some(upstream)
             }
             Some(upstream) => {
@@ -298,7 +304,7 @@
             }
             None => {
                 if waits {
-                    state.loans.remove(&ask.id);
+                    state.loans.remove(&slot_request.id);
                 }
                 None
             }
@@ -337,10 +343,10 @@
     /// The ids of slots that were lent before `then` and whose borrower is gone.
     pub(crate) fn overdue(&self, then: u64, is_gone: impl Fn(&str) -> bool) -> Vec<String> {
         let state = self.lock();
-        let overdue = |lent: &LoanState| match lent {
+        let overdue = |loan: &LoanState| match loan {
             LoanState::Held { borrower, since, .. } => *since < then && is_gone(borrower),
             LoanState::Waiting(_) | LoanState::Ended => false,
         };
-        state.loans.iter().filter(|(_, lent)| overdue(lent)).map(|(id, _)| id.clone()).collect()
+        state.loans.iter().filter(|(_, loan)| overdue(loan)).map(|(id, _)| id.clone()).collect()
     }
 }
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -48,8 +48,8 @@
             Ok(rows) => {
                 let head = rows.into_iter().next().flatten();
                 if let Some(head) = head.and_then(|row| row.decode::<Accepted>().ok()) {
-                    let from = Source::Platform;
-                    adopt(&node, head.sequence, &head.manifest, from).await;
+                    let source = Source::Platform;
+                    adopt(&node, head.sequence, &head.manifest, source).await;
                 }
             }
             Err(error) => log::debug!("bundle: {error}"),
--- a/crates/router/src/sync.rs
+++ b/crates/router/src/sync.rs
@@ -61,10 +61,11 @@
 pub(crate) async fn run<W: Ports>(node: Arc<Node<W>>, requested: async_channel::Receiver<()>) {
     let mut last = node.clock.now();
     while !node.is_stopped() {
-        let fleet = node.fleet_size();
-        let period =
-            Duration::from_millis(node.settings.limits.sync_ms.max(fleet * 1_000 / FLEET_SETTLEMENTS_PER_S));
-        let spacing = Duration::from_millis(fleet * 500 / FLEET_SETTLEMENTS_PER_S);
+        let fleet_size = node.fleet_size();
+        let period = Duration::from_millis(
+            node.settings.limits.sync_ms.max(fleet_size * 1_000 / FLEET_SETTLEMENTS_PER_S),
+        );
+        let spacing = Duration::from_millis(fleet_size * 500 / FLEET_SETTLEMENTS_PER_S);
         if !node.grants.needs_settlement(node.clock.now()) {
             let request = async {
                 let _ = requested.recv().await;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -221,8 +221,8 @@
         },
         "/table/commit" => match serde_json::from_slice::<Tx>(body) {
             Ok(tx) => {
-                let verdict = commit(state, tx);
-                json_response(state, &verdict)
+                let outcome = commit(state, tx);
+                json_response(state, &outcome)
             }
             Err(_) => status_response(StatusCode::BAD_REQUEST),
         },
--- a/crates/standin/src/rows.rs
+++ b/crates/standin/src/rows.rs
@@ -208,8 +208,8 @@
         Ok(Page { records: records.collect(), version: state.version, now_ms: self.now_ms() })
     }
 
-    async fn feed(&self, table: &str, since: FeedQuery) -> Result<Feed, Error> {
-        let FeedQuery { after, wait_ms, most } = since;
+    async fn feed(&self, table: &str, query: FeedQuery) -> Result<Feed, Error> {
+        let FeedQuery { after, wait_ms, most } = query;
         let until = Instant::now() + Duration::from_millis(wait_ms);
         loop {
             {
--- a/crates/store/src/rows.rs
+++ b/crates/store/src/rows.rs
@@ -125,7 +125,7 @@
     fn list(&self, table: &str, part: &str) -> impl Future<Output = Result<Page, Error>> + Send;
 
     /// Waits for changes to a table.
-    fn feed(&self, table: &str, since: FeedQuery) -> impl Future<Output = Result<Feed, Error>> + Send;
+    fn feed(&self, table: &str, query: FeedQuery) -> impl Future<Output = Result<Feed, Error>> + Send;
 
     /// Returns the same service with `progress` counting the bytes of answers to reads. The default
     /// implementation counts nothing.
--- a/src/cmd/ctl/quarantine.rs
+++ b/src/cmd/ctl/quarantine.rs
@@ -45,7 +45,7 @@
     /// Fails if the fingerprint is malformed, the request is not denied, or the store can't be read or
     /// written.
     pub fn execute(&self) -> Result<(), Error> {
-        let which = match self.which.as_str() {
+        let selector = match self.which.as_str() {
             "all" => Selector::All,
             text => Selector::One(
                 text.parse()
@@ -53,8 +53,8 @@
             ),
         };
         let rows = rows(&self.settings)?;
-        let lifted = net::exec::block_on(denials::lift(&rows, which))?;
-        if lifted.is_empty() && which != Selector::All {
+        let lifted = net::exec::block_on(denials::lift(&rows, selector))?;
+        if lifted.is_empty() && selector != Selector::All {
             return Err(Error::Invalid(format!("{} is not denied", self.which)));
         }
         lifted.iter().for_each(|denial| println!("lifted {}", denial.fingerprint));
--- a/src/cmd/ctl/status.rs
+++ b/src/cmd/ctl/status.rs
@@ -36,15 +36,15 @@
             }
             Ok::<_, Error>(rows)
         })?;
-        for (name, standing) in rows {
-            let row = match (&standing, self.json) {
-                (Ok(standing), true) => {
-                    json!({"name": name, "sequence": standing.sequence, "in-force-ms": standing.in_force_ms})
+        for (name, status) in rows {
+            let row = match (&status, self.json) {
+                (Ok(status), true) => {
+                    json!({"name": name, "sequence": status.sequence, "in-force-ms": status.in_force_ms})
                         .to_string()
                 }
                 (Err(error), true) => json!({"name": name, "error": error.to_string()}).to_string(),
-                (Ok(standing), false) => {
-                    format!("{name}: sequence {} for {} ms", standing.sequence, standing.in_force_ms)
+                (Ok(status), false) => {
+                    format!("{name}: sequence {} for {} ms", status.sequence, status.in_force_ms)
                 }
                 (Err(error), false) => format!("{name}: no answer: {error}"),
             };
--- a/tests/testsuite/budgets.rs
+++ b/tests/testsuite/budgets.rs
@@ -48,9 +48,9 @@
 /// Asserts that the recorded spend is the usage that the callers were told, and that the engines consumed no
 /// more than is recorded as spent or outstanding.
 fn assert_accounts(fleet: &Fleet, answers: &[Answer]) {
-    let told: u64 = answers.iter().map(|answer| answer.usage).sum();
+    let reported: u64 = answers.iter().map(|answer| answer.usage).sum();
     let audit = &audit(fleet)[BUDGET];
-    assert_eq!(audit.spent, told, "the recorded spend is the usage that callers were told");
+    assert_eq!(audit.spent, reported, "the recorded spend is the usage that callers were told");
     assert!(audit.balanced && audit.accounts_agree, "I1: {audit:?}");
     assert!(consumed(fleet) <= audit.spent + audit.outstanding, "I6: {audit:?}");
     assert!(audit.spent + audit.outstanding <= audit.credited);
@@ -191,8 +191,8 @@
         let audit = &audit(&fleet)[BUDGET];
         assert!(audit.balanced && audit.accounts_agree, "I1: {audit:?}");
         assert!(audit.outstanding > 0, "the tokens of the killed router stay outstanding");
-        let told: u64 = answers.iter().map(|answer| answer.usage).sum();
-        assert!(audit.spent <= told, "no more is charged than callers were told");
+        let reported: u64 = answers.iter().map(|answer| answer.usage).sum();
+        assert!(audit.spent <= reported, "no more is charged than callers were told");
         assert!(consumed(&fleet) <= audit.credited, "no overspend: {} {audit:?}", consumed(&fleet));
     });
 }
@@ -240,10 +240,10 @@
             crate::support::wait_ended(&mut fleet, index).await;
         }
         answers.push(retried);
-        let told: u64 = answers.iter().map(|answer| answer.usage).sum();
+        let reported: u64 = answers.iter().map(|answer| answer.usage).sum();
         let audit = &audit(&fleet)[BUDGET];
         assert!(audit.balanced && audit.accounts_agree, "I1: {audit:?}");
-        assert!(audit.spent <= told, "the repeated request is charged once (I2): {audit:?}");
+        assert!(audit.spent <= reported, "the repeated request is charged once (I2): {audit:?}");
         assert!(consumed(&fleet) <= audit.spent + audit.outstanding, "I6: {audit:?}");
     });
 }
--- a/tests/testsuite/documents.rs
+++ b/tests/testsuite/documents.rs
@@ -32,14 +32,14 @@
 fn the_settings_page_names_every_limit_with_its_default() {
     let page = page("settings.md");
     assert_limits(&page, &serde_json::json!(router::Limits::default()));
-    router::Settings::read(example(&page)).expect("the example is right");
+    router::Settings::read(example(&page)).expect("the example is valid");
 }
 
 #[test]
 fn the_bundle_page_names_every_limit_with_its_default() {
     let page = page("bundle.md");
     assert_limits(&page, &serde_json::json!(bundle::Limits::default()));
-    bundle::read(example(&page)).expect("the example is right");
+    bundle::read(example(&page)).expect("the example is valid");
 }
 
 #[test]
