--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -26,7 +26,7 @@
 }
 
 impl Bundle {
-    /// The upstreams that may get new work. Those in evacuated data centres only finish the runs that they have.
+    /// The upstreams that may get new work. Those in evacuated data centres only finish their runs.
     pub fn active_upstreams(&self) -> impl Iterator<Item = (&str, &Upstream)> {
         let all = self.upstreams.iter().map(|(name, upstream)| (name.as_str(), upstream));
         all.filter(|(_, upstream)| !self.evacuated.contains(&upstream.data_centre))
