--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,161 +1,165 @@
-//! A model of a continuously batching engine: steps that make one token for each run and read a piece of a prompt,
-//! a cache of prompt parts that gives way by age, and preemption when its memory is full.
+//! A model of an engine with continuous batching. Each step generates one token for each run and reads a
+//! chunk of the waiting prompts. Prompt parts are cached and evicted in LRU order, and runs are preempted
+//! when the memory is full.
 
 use std::collections::{HashMap, VecDeque};
 
-/// What an engine is built of.
+/// The size and speed of an engine.
 #[derive(Clone, Debug)]
-pub struct Spec {
-    /// Runs in a batch.
+pub struct EngineSpec {
+    /// The largest number of runs in a batch.
     pub slots: usize,
-    /// Requests that may wait beside them.
-    pub queue: usize,
-    /// Milliseconds of a step.
-    pub step_ms: f64,
-    /// Milliseconds that each run adds to a step.
-    pub run_ms: f64,
-    /// Milliseconds that each thousand tokens of the runs' memory add to a step.
-    pub context_ms: f64,
-    /// Prompt tokens read in a millisecond.
-    pub read_rate: f64,
-    /// Milliseconds for a million pairs of a token that is read and one before it.
-    pub pairs_ms: f64,
-    /// Prompt tokens read in one step at most.
-    pub chunk: u64,
-    /// Milliseconds between the end of reading and the first event.
-    pub first_ms: f64,
-    /// Tokens in an event.
-    pub stride: u64,
-    /// Tokens that fit into memory.
-    pub memory: u64,
+    /// The largest number of requests that wait for a slot.
+    pub queue_capacity: usize,
+    /// The fixed duration of a step, in milliseconds.
+    pub base_step_ms: f64,
+    /// The time that each run adds to a step, in milliseconds.
+    pub step_ms_per_run: f64,
+    /// The time that each thousand tokens of context, over all runs, add to a step, in milliseconds.
+    pub step_ms_per_1k_context: f64,
+    /// Prompt tokens read per millisecond.
+    pub read_tokens_per_ms: f64,
+    /// The time that attention adds while a prompt is read, in milliseconds per million pairs of a token that
+    /// is read and one before it.
+    pub step_ms_per_m_pairs: f64,
+    /// The most prompt tokens read in one step.
+    pub max_read_tokens: u64,
+    /// The time between the end of reading and the first event, in milliseconds.
+    pub first_event_delay_ms: f64,
+    /// The number of tokens in an event.
+    pub tokens_per_event: u64,
+    /// The number of tokens that fit into memory.
+    pub memory_tokens: u64,
 }
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct Part {
-    /// Its identity.
+    /// The identity of the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length of the part, in tokens.
     pub tokens: u64,
 }
 
-/// A request as an engine gets it.
+/// A request as an engine receives it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The caller's number of it.
+    /// The caller's identifier of the request.
     pub id: usize,
-    /// Its rank, 0 first.
-    pub rank: u32,
-    /// The parts of its prompt.
+    /// The priority; the lowest number is served first.
+    pub priority: u32,
+    /// The parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// Tokens that come out.
-    pub output: u64,
+    /// The number of tokens to generate.
+    pub output_tokens: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Run {
     job: Job,
-    input: u64,
-    /// Prompt tokens in memory so far.
-    read: u64,
-    made: u64,
-    /// When its first event may come, in milliseconds.
-    ready: f64,
-    /// Whether its first event came.
+    input_tokens: u64,
+    /// The number of prompt tokens in memory.
+    read_tokens: u64,
+    generated: u64,
+    /// The earliest time of the first event, in milliseconds; infinite until the prompt is read.
+    first_event_at: f64,
+    /// Whether the first event has been sent.
     has_begun: bool,
 }
 
-/// What a step brought.
+/// An event of a job at the end of a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happened {
+pub enum StepEvent {
     /// The first event of a job.
     First(usize),
-    /// A further event.
-    Event(usize),
+    /// An event between the first and the last one.
+    Next(usize),
     /// The last event of a job.
-    End(usize),
+    Last(usize),
 }
 
-/// Counts of what an engine did.
+/// Totals of an engine's work.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
-    /// Prompt tokens read.
-    pub read: u64,
-    /// Runs that lost their memory to others.
-    pub preempted: u64,
+pub struct EngineCounters {
+    /// The number of prompt tokens read.
+    pub read_tokens: u64,
+    /// The number of runs preempted to free memory.
+    pub preemptions: u64,
 }
 
-/// A part in the cache.
+/// A cached prompt part.
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u64,
-    used: f64,
+    last_used: f64,
 }
 
-/// An engine.
+/// An engine and its state.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    spec: Spec,
-    /// How many times slower than its specification it is.
-    pub slow: f64,
-    /// Whether it answers nothing.
-    pub is_dead: bool,
+    spec: EngineSpec,
+    /// The factor by which the engine is slower than its specification.
+    pub slowdown: f64,
+    /// Whether the engine is down, so that no step begins.
+    pub is_down: bool,
     runs: Vec<Run>,
     waiting: VecDeque<Job>,
-    cache: HashMap<u64, Kept>,
-    counts: Counts,
-    /// The step that is under way: its number, and tokens that it reads by run.
+    cache: HashMap<u64, CachedPart>,
+    counters: EngineCounters,
+    /// The number of the current step. A crash increments it too, so that the end of a step that began before
+    /// the crash is ignored.
     step: u64,
     is_stepping: bool,
 }
 
 impl Engine {
-    /// An idle engine.
-    pub fn new(spec: Spec, slow: f64) -> Engine {
+    /// Creates an idle engine.
+    pub fn new(spec: EngineSpec, slowdown: f64) -> Engine {
         Engine {
             spec,
-            slow,
-            is_dead: false,
+            slowdown,
+            is_down: false,
             runs: vec![],
             waiting: VecDeque::new(),
             cache: HashMap::new(),
-            counts: Counts::default(),
+            counters: EngineCounters::default(),
             step: 0,
             is_stepping: false,
         }
     }
 
-    /// What it read.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    /// The totals of the work so far.
+    pub fn counters(&self) -> EngineCounters {
+        self.counters
     }
 
-    /// Jobs that run.
-    pub fn running(&self) -> usize {
+    /// The number of jobs in the batch.
+    pub fn running_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Takes a job; `false` if it is full.
+    /// Runs a job, or queues it by priority if all slots are taken. Returns `false` if the queue is full.
     pub fn accept(&mut self, job: Job, now: f64) -> bool {
         if self.runs.len() < self.spec.slots {
             self.start(job, now);
             return true;
         }
-        if self.waiting.len() >= self.spec.queue {
+        if self.waiting.len() >= self.spec.queue_capacity {
             return false;
         }
-        let place = self.waiting.iter().position(|other| other.rank > job.rank).unwrap_or(self.waiting.len());
-        self.waiting.insert(place, job);
+        let position =
+            self.waiting.iter().position(|other| other.priority > job.priority).unwrap_or(self.waiting.len());
+        self.waiting.insert(position, job);
         true
     }
 
-    /// Ends a job whose caller left.
+    /// Removes a job whose caller disconnected.
     pub fn cancel(&mut self, id: usize) {
         self.runs.retain(|run| run.job.id != id);
         self.waiting.retain(|job| job.id != id);
     }
 
-    /// Loses all that it has; the ids of the jobs.
+    /// Drops all jobs and the cache. Returns the identifiers of the jobs.
     pub fn crash(&mut self) -> Vec<usize> {
         let lost = self.runs.drain(..).map(|run| run.job.id).chain(self.waiting.drain(..).map(|job| job.id));
         let lost = lost.collect();
@@ -165,146 +169,161 @@
         lost
     }
 
-    /// Begins a step, if there is work and none is under way: its number and its end in milliseconds.
-    pub fn begin(&mut self, now: f64) -> Option<(u64, f64)> {
-        if self.is_stepping || self.is_dead || self.runs.is_empty() {
+    /// Begins a step if there is work and none is in progress. Returns the number of the step, and the time
+    /// at which it ends, in milliseconds.
+    pub fn begin_step(&mut self, now: f64) -> Option<(u64, f64)> {
+        if self.is_stepping || self.is_down || self.runs.is_empty() {
             return None;
         }
         self.is_stepping = true;
         self.step += 1;
-        let read = self.plan();
-        let pairs: f64 = read
+        let reads = self.plan_reads();
+        let pairs: f64 = reads
             .iter()
-            .map(|(index, tokens)| *tokens as f64 * (self.runs[*index].read as f64 + *tokens as f64 / 2.0))
+            .map(|(index, tokens)| {
+                *tokens as f64 * (self.runs[*index].read_tokens as f64 + *tokens as f64 / 2.0)
+            })
             .sum();
-        let tokens: u64 = read.iter().map(|(_, tokens)| tokens).sum();
-        let context: u64 = self.runs.iter().map(|run| run.read + run.made).sum();
+        let tokens: u64 = reads.iter().map(|(_, tokens)| tokens).sum();
+        let context: u64 = self.runs.iter().map(|run| run.read_tokens + run.generated).sum();
         let spec = &self.spec;
-        let ms = spec.step_ms
-            + spec.run_ms * self.runs.len() as f64
-            + spec.context_ms * context as f64 / 1e3
-            + tokens as f64 / spec.read_rate
-            + spec.pairs_ms * pairs / 1e6;
-        Some((self.step, now + ms * self.slow))
+        let ms = spec.base_step_ms
+            + spec.step_ms_per_run * self.runs.len() as f64
+            + spec.step_ms_per_1k_context * context as f64 / 1e3
+            + tokens as f64 / spec.read_tokens_per_ms
+            + spec.step_ms_per_m_pairs * pairs / 1e6;
+        Some((self.step, now + ms * self.slowdown))
     }
 
-    /// The prompt tokens that the next step reads, by run: prompts are read in the order in which they came.
-    fn plan(&self) -> Vec<(usize, u64)> {
-        let mut left = self.spec.chunk;
+    /// The prompt tokens to read in a step, by index of the run. Prompts are read in the order in which their
+    /// runs started.
+    fn plan_reads(&self) -> Vec<(usize, u64)> {
+        let mut remaining = self.spec.max_read_tokens;
         let mut plan = vec![];
         for (index, run) in self.runs.iter().enumerate() {
-            let tokens = (run.input - run.read).min(left);
+            let tokens = (run.input_tokens - run.read_tokens).min(remaining);
             if tokens > 0 {
                 plan.push((index, tokens));
-                left -= tokens;
+                remaining -= tokens;
             }
         }
         plan
     }
 
-    /// Ends a step; what it brought.
-    pub fn end(&mut self, step: u64, now: f64) -> Vec<Happened> {
+    /// Ends a step and returns the events that it generated.
+    pub fn end_step(&mut self, step: u64, now: f64) -> Vec<StepEvent> {
         if step != self.step || !self.is_stepping {
             return vec![];
         }
         self.is_stepping = false;
-        let was_reading: Vec<bool> = self.runs.iter().map(|run| run.read < run.input).collect();
-        for (index, tokens) in self.plan() {
+        let was_reading: Vec<bool> = self.runs.iter().map(|run| run.read_tokens < run.input_tokens).collect();
+        for (index, tokens) in self.plan_reads() {
             let run = &mut self.runs[index];
-            run.read += tokens;
-            self.counts.read += tokens;
-            if run.read == run.input {
-                run.ready = now + self.spec.first_ms;
+            run.read_tokens += tokens;
+            self.counters.read_tokens += tokens;
+            if run.read_tokens == run.input_tokens {
+                run.first_event_at = now + self.spec.first_event_delay_ms;
             }
         }
-        let mut happened = vec![];
+        let mut events = vec![];
         for (run, was_reading) in self.runs.iter_mut().zip(was_reading) {
             if !was_reading {
-                happened.extend(advance(run, self.spec.stride, now));
+                events.extend(advance(run, self.spec.tokens_per_event, now));
             }
         }
-        let ended: Vec<usize> = happened
+        let completed: Vec<usize> = events
             .iter()
-            .filter_map(|happened| if let Happened::End(id) = happened { Some(*id) } else { None })
+            .filter_map(|event| if let StepEvent::Last(id) = event { Some(*id) } else { None })
             .collect();
-        for id in ended {
-            self.finish(id, now);
+        for id in completed {
+            self.complete(id, now);
         }
-        self.make_room();
+        self.free_memory();
         while self.runs.len() < self.spec.slots
             && let Some(job) = self.waiting.pop_front()
         {
             self.start(job, now);
         }
-        happened
+        events
     }
 
     fn start(&mut self, job: Job, now: f64) {
-        let input = job.parts.iter().map(|part| part.tokens).sum();
-        let cached = self.cached(&job.parts, now);
-        // At least one token is read, so that there is a first answer.
-        let read = cached.min(input - 1);
-        self.runs.push(Run { job, input, read, made: 0, ready: f64::INFINITY, has_begun: false });
+        let input_tokens = job.parts.iter().map(|part| part.tokens).sum();
+        let cached = self.touch_cached(&job.parts, now);
+        // At least one token has to be read to generate the first output token.
+        let read_tokens = cached.min(input_tokens - 1);
+        self.runs.push(Run {
+            job,
+            input_tokens,
+            read_tokens,
+            generated: 0,
+            first_event_at: f64::INFINITY,
+            has_begun: false,
+        });
     }
 
-    /// The parts of a prompt that would have to be read.
-    pub fn unread<'a>(&self, parts: &'a [Part]) -> &'a [Part] {
-        let kept = parts.iter().take_while(|part| self.cache.contains_key(&part.id)).count();
-        &parts[kept..]
+    /// The parts of a prompt after its longest cached prefix.
+    pub fn uncached_parts<'a>(&self, parts: &'a [Part]) -> &'a [Part] {
+        let cached = parts.iter().take_while(|part| self.cache.contains_key(&part.id)).count();
+        &parts[cached..]
     }
 
-    /// Prompt tokens that are kept: a part counts only if all parts before it are kept.
-    fn cached(&mut self, parts: &[Part], now: f64) -> u64 {
+    /// Marks the longest cached prefix of a prompt as used and returns its length in tokens. A part that
+    /// follows an uncached one does not count.
+    fn touch_cached(&mut self, parts: &[Part], now: f64) -> u64 {
         let mut tokens = 0;
         for part in parts {
-            let Some(kept) = self.cache.get_mut(&part.id) else { break };
-            kept.used = now;
+            let Some(cached) = self.cache.get_mut(&part.id) else { break };
+            cached.last_used = now;
             tokens += part.tokens;
         }
         tokens
     }
 
-    fn finish(&mut self, id: usize, now: f64) {
+    fn complete(&mut self, id: usize, now: f64) {
         let Some(index) = self.runs.iter().position(|run| run.job.id == id) else { return };
         let run = self.runs.remove(index);
         for part in &run.job.parts {
-            self.cache.insert(part.id, Kept { tokens: part.tokens, used: now });
+            self.cache.insert(part.id, CachedPart { tokens: part.tokens, last_used: now });
         }
     }
 
-    /// Drops the parts that were unused the longest, then preempts, until all fits.
-    fn make_room(&mut self) {
-        let running: u64 = self.runs.iter().map(|run| run.read + run.made).sum();
-        let mut kept: u64 = self.cache.values().map(|kept| kept.tokens).sum();
-        while running + kept > self.spec.memory && kept > 0 {
-            let oldest = self.cache.iter().min_by(|left, right| left.1.used.total_cmp(&right.1.used));
+    /// Evicts the least recently used parts, then preempts the runs with the lowest priority, the newest ones
+    /// first, until the rest fits into memory.
+    fn free_memory(&mut self) {
+        let running: u64 = self.runs.iter().map(|run| run.read_tokens + run.generated).sum();
+        let mut cached: u64 = self.cache.values().map(|cached| cached.tokens).sum();
+        while running + cached > self.spec.memory_tokens && cached > 0 {
+            let oldest =
+                self.cache.iter().min_by(|left, right| left.1.last_used.total_cmp(&right.1.last_used));
             let Some(id) = oldest.map(|(id, _)| *id) else { break };
-            kept -= self.cache.remove(&id).map_or(0, |kept| kept.tokens);
+            cached -= self.cache.remove(&id).map_or(0, |cached| cached.tokens);
         }
         let mut running = running;
-        while running > self.spec.memory && self.runs.len() > 1 {
-            let newest = self.runs.iter().enumerate().max_by_key(|(index, run)| (run.job.rank, *index));
+        while running > self.spec.memory_tokens && self.runs.len() > 1 {
+            let newest = self.runs.iter().enumerate().max_by_key(|(index, run)| (run.job.priority, *index));
             let Some((index, _)) = newest else { break };
             let run = self.runs.remove(index);
-            running -= run.read + run.made;
-            self.counts.preempted += 1;
+            running -= run.read_tokens + run.generated;
+            self.counters.preemptions += 1;
             self.waiting.push_front(run.job);
         }
     }
 }
 
-/// Makes a token, unless the first one is not ready.
-fn advance(run: &mut Run, stride: u64, now: f64) -> Option<Happened> {
-    if now < run.ready {
+/// Generates a token, unless the first event is not due yet. Returns the event that the token completes, if
+/// any.
+fn advance(run: &mut Run, tokens_per_event: u64, now: f64) -> Option<StepEvent> {
+    if now < run.first_event_at {
         return None;
     }
-    run.made += 1;
-    if run.made >= run.job.output {
-        return Some(Happened::End(run.job.id));
+    run.generated += 1;
+    if run.generated >= run.job.output_tokens {
+        return Some(StepEvent::Last(run.job.id));
     }
     if !run.has_begun {
         run.has_begun = true;
-        return Some(Happened::First(run.job.id));
+        return Some(StepEvent::First(run.job.id));
     }
-    run.made.is_multiple_of(stride).then_some(Happened::Event(run.job.id))
+    run.generated.is_multiple_of(tokens_per_event).then_some(StepEvent::Next(run.job.id))
 }
