--- a/crates/gateway/src/budget_state.rs
+++ b/crates/gateway/src/budget_state.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-// Most of the ratios and times below belong together as one set of values: see the table in
-// docs/design/platform.md.
+// Most of the ratios and times below belong together as one set of values: they were chosen together, on the
+// standard days of two deployments, and few of them individually. See the table in docs/design/platform.md.
 
 /// The largest number of charges settled in one batch.
 const MAX_BATCH_CHARGES: usize = 64;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,17 @@
 //! The gateway: the request path for a platform that provides its own configuration, list of upstreams and
 //! store.
 //!
-//! A request passes through these modules:
+//! A request passes through these modules. Of this list, each module imports only those that come after it,
+//! except `peer_reservations`: `node` and `team_budget` import it, and it imports them and `budget_state`.
 //!
 //! - `handle` admits it and decides what to do when a dispatch fails.
 //! - `relay` forwards a streamed answer.
 //! - `attempt` is a single dispatch.
 //! - `quarantine` inspects a dispatch that broke off, and denies requests that crash upstreams.
 //! - `job` holds the request and what it has acquired.
+//! - `node` holds the state of the gateway.
 //! - `team_budget` and `budget_state` reserve its tokens at this gateway, `peer_reservations` at one that
 //!   `owners` selects.
-//! - `node` holds the state of the gateway.
 //!
 //! Other modules run in the background. `settle`, `notes` and `closing` keep the budgets in the store.
 //! `watch` and `members` follow the store: the manifest, the upstreams and the other gateways. `snapshot`
--- a/crates/gateway/src/settle.rs
+++ b/crates/gateway/src/settle.rs
@@ -1,7 +1,8 @@
 //! Settlement of a budget with the store.
 //!
 //! A settlement writes the pool row and this gateway's account row under the condition that both are as last
-//! seen. If the answer to a write is lost, the account's sequence shows later whether it took effect.
+//! seen. If the answer to a write is lost, the account's sequence shows later whether it took effect, however
+//! late it did.
 
 use crate::budget_state::{BudgetRows, SettlementResult};
 use crate::table::{ACCOUNT, BUDGETS, POOL, RECALLS, Recall, decode_or_default, encode};
