--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -159,7 +159,8 @@
     }
 }
 
-/// Serves metrics at a separate address. If it can't be bound, the gateway runs without them.
+/// Serves metrics at a separate address. If it can't be bound, the gateway runs without them, since that is
+/// better than not running at all.
 async fn serve_metrics<W: Wire, S: Rows>(
     node: &Arc<Node<W, S>>,
     listen: &Listen,
