--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -42,8 +42,8 @@
     /// The number of processor cores of its VM.
     #[serde(default = "whole_core")]
     cores: f64,
-    /// How long the process has run, in milliseconds. It makes each heartbeat differ from the one before: a row
-    /// that did not change would not show that the process still runs.
+    /// How long the process has run, in milliseconds. It makes each heartbeat differ from the one before: a
+    /// row that did not change would not show that the process still runs.
     up_ms: u64,
     /// The engines of each service that are reserved for short requests. The first gateway decides, and the
     /// others adopt its decision.
