--- a/crates/route/src/placement/upstream.rs
+++ b/crates/route/src/placement/upstream.rs
@@ -14,7 +14,8 @@
 /// The cost of an upstream in another data centre, in milliseconds of estimated time. Traffic between data
 /// centres is charged for.
 const DISTANCE_COST: f64 = 15.0;
-/// The cost of an upstream that fails every request, in milliseconds. It is scaled by the share of failures.
+/// The cost of an upstream that fails every request, in milliseconds. It is scaled by the sum of the share of
+/// failures and the number of recent failures in a row.
 const FAILURE_COST: f64 = 1_500.0;
 /// The cost of each request that waits unusually long for its first answer, in milliseconds.
 const OVERDUE_COST: f64 = 400.0;
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -121,7 +121,8 @@
         self.bundle.read().expect("no thread panics while it holds the lock").clone()
     }
 
-    /// Puts a bundle in force. Returns `false` if the current one has the same or a later sequence.
+    /// Puts a bundle in force, but never goes back to an older sequence. Returns `false` and changes nothing
+    /// if the current one has the same or a later sequence.
     pub(crate) fn activate_bundle(&self, next: ActiveBundle) -> bool {
         let mut current = self.bundle.write().expect("no thread panics while it holds the lock");
         if next.sequence <= current.sequence {
--- a/crates/router/src/slot.rs
+++ b/crates/router/src/slot.rs
@@ -33,7 +33,8 @@
 const PEERS_RETRY_MS: u64 = 250;
 /// The number of ended loans that are remembered, so that a delayed request takes no slot.
 const MAX_ENDED_LOANS: usize = 10_000;
-/// The number of attempts to return a slot, and the pause between them in milliseconds.
+/// The number of attempts to return a slot until the lender answers, and the pause between them in
+/// milliseconds.
 const RETURN_ATTEMPTS: u32 = 40;
 const RETURN_PAUSE_MS: u64 = 250;
 
