--- a/crates/router/src/slot.rs
+++ b/crates/router/src/slot.rs
@@ -26,8 +26,9 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use uuid::Uuid;
 
-/// The length of a request's body in bytes from which a slot at the prefix's preferred upstream is worth a
-/// message to its owners.
+/// The size of a request in bytes from which a slot at the prefix's preferred upstream is worth a message to
+/// its owners. It is compared with the bound on the prompt's tokens, which is slightly above the length of
+/// the body.
 const MIN_HOME_REQUEST_BYTES: u64 = 1_024;
 /// The pause before peers are asked again after all have declined, in milliseconds.
 const PEERS_RETRY_MS: u64 = 250;
